--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControlAppender.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControlAppender.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 import org.cranberrygauge.model.record.LogRecord;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.log.LogAppender;
+import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Appends the records of control, at most one of each purpose at a time.
@@ -24,7 +24,7 @@
     private final LogAppender appender;
 
     /** The blackboard, which tells how far the log is read. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The offset at which the record of each purpose stands. */
     private final ConcurrentMap<String, Long> offsets = new ConcurrentHashMap<>();
@@ -35,7 +35,7 @@
      * @param appender The appender.
      * @param blackboard The blackboard, which tells how far the log is read.
      */
-    public ControlAppender(LogAppender appender, Blackboard blackboard) {
+    public ControlAppender(LogAppender appender, ProcessState blackboard) {
         this.appender = appender;
         this.blackboard = blackboard;
     }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/Controller.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/Controller.java
@@ -14,31 +14,31 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import org.cranberrygauge.controller.cleaning.CleaningDesk;
-import org.cranberrygauge.controller.gateway.GatewayPoll;
-import org.cranberrygauge.controller.membership.GoneGatewayDesk;
-import org.cranberrygauge.controller.order.OrderDesk;
+import org.cranberrygauge.controller.cleaning.CleaningCoordinator;
+import org.cranberrygauge.controller.gateway.GatewayLoadPoller;
+import org.cranberrygauge.controller.membership.MembershipPruner;
+import org.cranberrygauge.controller.order.OrderDispatcher;
 import org.cranberrygauge.controller.usage.UsageReporter;
 import org.cranberrygauge.decision.cleaning.CleaningPlanner;
-import org.cranberrygauge.decision.fleet.DemandMeter;
-import org.cranberrygauge.decision.fleet.DemandMeter.GatewayLoad;
+import org.cranberrygauge.decision.fleet.DemandEstimator;
+import org.cranberrygauge.decision.fleet.DemandEstimator.GatewayLoad;
 import org.cranberrygauge.decision.fleet.FleetView.ModelDemand;
 import org.cranberrygauge.decision.fleet.ForecastFleetPlanner;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
-import org.cranberrygauge.decision.membership.GoneGateways;
+import org.cranberrygauge.decision.lease.LeaderElector;
+import org.cranberrygauge.decision.membership.GatewayFailureDetector;
 import org.cranberrygauge.decision.snapshot.SnapshotSchedule;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
 import org.cranberrygauge.model.configuration.Configuration;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.lifecycle.Program;
 import org.cranberrygauge.runtime.log.LogAppender;
 import org.cranberrygauge.runtime.log.LogFollower;
 import org.cranberrygauge.runtime.log.SnapshotWriter;
 import org.cranberrygauge.runtime.platform.HttpPlatform;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -85,7 +85,7 @@
     private final String incarnation;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The follower of the log. */
     private final LogFollower follower;
@@ -97,25 +97,25 @@
     private final ControlAppender controlAppender;
 
     /** Asks gateways for their load. */
-    private final GatewayPoll poll;
+    private final GatewayLoadPoller poll;
 
     /** Decides whether this controller holds the lease. */
-    private final LeaseKeeper lease;
+    private final LeaderElector lease;
 
     /** Sends orders. */
-    private final OrderDesk orders;
+    private final OrderDispatcher orders;
 
     /** Reports usage. */
     private final UsageReporter usage;
 
     /** Carries out the cleaning. */
-    private final CleaningDesk cleaning;
+    private final CleaningCoordinator cleaning;
 
     /** Declares gateways gone. */
-    private final GoneGatewayDesk gone;
+    private final MembershipPruner gone;
 
     /** Works out the demand. */
-    private final DemandMeter meter = new DemandMeter();
+    private final DemandEstimator meter = new DemandEstimator();
 
     /** Writes snapshots. */
     private final SnapshotWriter snapshots;
@@ -141,14 +141,14 @@
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         Program.reportUnhandled(vertx, events);
         incarnation = Program.incarnation(settings.hostName(), time.wallMillis());
-        blackboard = new Blackboard(time.monotonicMillis());
+        blackboard = new ProcessState(time.monotonicMillis());
         HttpPlatform platform = new HttpPlatform(vertx, settings.platformAddress(), settings.platformTimeoutMillis());
         follower = new LogFollower(vertx, platform, blackboard, time, events);
         appender = new LogAppender(vertx, platform, incarnation);
         controlAppender = new ControlAppender(appender, blackboard);
-        poll = new GatewayPoll(time);
-        lease = new LeaseKeeper(incarnation, settings.hostName(), time.monotonicMillis());
-        orders = new OrderDesk(
+        poll = new GatewayLoadPoller(time);
+        lease = new LeaderElector(incarnation, settings.hostName(), time.monotonicMillis());
+        orders = new OrderDispatcher(
                 incarnation,
                 new ForecastFleetPlanner(settings.fleetParameters()),
                 lease,
@@ -159,15 +159,16 @@
                 time,
                 events);
         usage = new UsageReporter(incarnation, lease, follower, controlAppender, platform, time, events);
-        gone = new GoneGatewayDesk(
-                new GoneGateways.Unlisted(HOST_ABSENCE_MILLIS),
+        gone = new MembershipPruner(
+                new GatewayFailureDetector.Unlisted(HOST_ABSENCE_MILLIS),
                 platform,
                 follower,
                 lease,
                 controlAppender,
                 time,
                 events);
-        cleaning = new CleaningDesk(new CleaningPlanner(settings.cleaningMillis()), lease, controlAppender, events);
+        cleaning =
+                new CleaningCoordinator(new CleaningPlanner(settings.cleaningMillis()), lease, controlAppender, events);
         snapshots = new SnapshotWriter(
                 incarnation,
                 new SnapshotSchedule.Periodic(settings.snapshotIntervalMillis()),
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/cleaning/CleaningDesk.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/cleaning/CleaningCoordinator.java
@@ -12,8 +12,8 @@
 import org.cranberrygauge.decision.cleaning.CleaningAction;
 import org.cranberrygauge.decision.cleaning.CleaningPlanner;
 import org.cranberrygauge.decision.cleaning.CleaningView;
-import org.cranberrygauge.decision.fleet.DemandMeter.GatewayLoad;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
+import org.cranberrygauge.decision.fleet.DemandEstimator.GatewayLoad;
+import org.cranberrygauge.decision.lease.LeaderElector;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.record.LogRecord;
@@ -27,13 +27,13 @@
  * <p>Invariants: each record carries the fencing number, so that those of a former holder are void; a backend server has at
  * most one record under way. Used on the context of the log follower, while the lease is held.
  */
-public final class CleaningDesk {
+public final class CleaningCoordinator {
 
     /** The planner. */
     private final CleaningPlanner planner;
 
     /** Decides whether this controller holds the lease. */
-    private final LeaseKeeper lease;
+    private final LeaderElector lease;
 
     /** The appender. */
     private final ControlAppender appender;
@@ -49,7 +49,8 @@
      * @param appender The appender.
      * @param events The event log.
      */
-    public CleaningDesk(CleaningPlanner planner, LeaseKeeper lease, ControlAppender appender, EventLog events) {
+    public CleaningCoordinator(
+            CleaningPlanner planner, LeaderElector lease, ControlAppender appender, EventLog events) {
         this.planner = planner;
         this.lease = lease;
         this.appender = appender;
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/GatewayPoll.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/GatewayLoadPoller.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import org.cranberrygauge.decision.fleet.DemandMeter.GatewayLoad;
+import org.cranberrygauge.decision.fleet.DemandEstimator.GatewayLoad;
 import org.cranberrygauge.decision.membership.GatewayMember;
 import org.cranberrygauge.protocol.generated.GatewayReport;
-import org.cranberrygauge.runtime.platform.GatewayStatus;
+import org.cranberrygauge.runtime.platform.GatewayStatusClient;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -18,7 +18,7 @@
  * <p>Invariants: at most one question is under way to each gateway, and a bounded number to all; the time of a load is taken
  * before its question was sent. Safe for use by several threads.
  */
-public final class GatewayPoll {
+public final class GatewayLoadPoller {
 
     /** The number of gateways that are asked at once. */
     private static final int THREADS = 4;
@@ -44,7 +44,7 @@
      *
      * @param time The sources of time.
      */
-    public GatewayPoll(TimeSource time) {
+    public GatewayLoadPoller(TimeSource time) {
         this.time = time;
     }
 
@@ -88,7 +88,7 @@
     private void ask(GatewayMember member) {
         long askedAtMillis = time.monotonicMillis();
         try {
-            GatewayStatus.ask(member)
+            GatewayStatusClient.ask(member)
                     .filter(report -> report.getGateway().equals(member.gateway()))
                     .ifPresent(report -> loads.put(member.gateway(), load(askedAtMillis, report)));
         } finally {
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/GoneGatewayDesk.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/MembershipPruner.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 import org.cranberrygauge.controller.ControlAppender;
 import org.cranberrygauge.controller.ControllerEvents;
-import org.cranberrygauge.decision.fleet.DemandMeter.GatewayLoad;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
+import org.cranberrygauge.decision.fleet.DemandEstimator.GatewayLoad;
+import org.cranberrygauge.decision.lease.LeaderElector;
+import org.cranberrygauge.decision.membership.GatewayFailureDetector;
 import org.cranberrygauge.decision.membership.GatewayMember;
-import org.cranberrygauge.decision.membership.GoneGateways;
-import org.cranberrygauge.decision.membership.HostSightings;
+import org.cranberrygauge.decision.membership.HostLivenessTracker;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.record.LogRecord.GatewayLeft;
 import org.cranberrygauge.protocol.platform.Platform;
@@ -21,13 +21,13 @@
  * <p>Invariants: a gateway is declared gone only while the lease is held, and at most once while its record is unread; an
  * outage of the platform makes none gone. Used on the context of the log follower.
  */
-public final class GoneGatewayDesk {
+public final class MembershipPruner {
 
     /** The start of the purposes under which records are appended. */
     private static final String PURPOSE = "gateway-gone ";
 
     /** Decides which gateways are gone. */
-    private final GoneGateways rule;
+    private final GatewayFailureDetector rule;
 
     /** The platform. */
     private final Platform platform;
@@ -36,7 +36,7 @@
     private final LogFollower follower;
 
     /** Decides whether this controller holds the lease. */
-    private final LeaseKeeper lease;
+    private final LeaderElector lease;
 
     /** Appends the records of control. */
     private final ControlAppender appender;
@@ -48,7 +48,7 @@
     private final EventLog events;
 
     /** When hosts were last listed and heard. */
-    private final HostSightings sightings = new HostSightings();
+    private final HostLivenessTracker sightings = new HostLivenessTracker();
 
     /**
      * Creates a desk.
@@ -61,11 +61,11 @@
      * @param time The sources of time.
      * @param events The event log.
      */
-    public GoneGatewayDesk(
-            GoneGateways rule,
+    public MembershipPruner(
+            GatewayFailureDetector rule,
             Platform platform,
             LogFollower follower,
-            LeaseKeeper lease,
+            LeaderElector lease,
             ControlAppender appender,
             TimeSource time,
             EventLog events) {
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/OrderDesk.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/OrderDispatcher.java
@@ -11,9 +11,9 @@
 import org.cranberrygauge.decision.fleet.FleetView;
 import org.cranberrygauge.decision.fleet.FleetView.ModelDemand;
 import org.cranberrygauge.decision.fleet.FleetView.PoolState;
-import org.cranberrygauge.decision.fleet.OrderPacing;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.fleet.OrderRateLimiter;
+import org.cranberrygauge.decision.lease.LeaderElector;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
@@ -21,9 +21,9 @@
 import org.cranberrygauge.model.record.LogRecord.OrderIntent;
 import org.cranberrygauge.model.record.LogRecord.OrderOutcome;
 import org.cranberrygauge.protocol.platform.Platform;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.log.LogFollower;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -34,7 +34,7 @@
  * deadline before it orders, and then goes by what the platform lists; the rate of orders is bounded, also where a data centre
  * has no supply. Used on the context of the log follower.
  */
-public final class OrderDesk {
+public final class OrderDispatcher {
 
     /** The result of an order whose answer did not come. */
     private static final String UNKNOWN = "unknown";
@@ -52,10 +52,10 @@
     private final FleetPlanner planner;
 
     /** Decides whether this controller holds the lease. */
-    private final LeaseKeeper lease;
+    private final LeaderElector lease;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The follower, on whose context answers are taken. */
     private final LogFollower follower;
@@ -73,7 +73,7 @@
     private final EventLog events;
 
     /** Bounds the rate of orders. */
-    private final OrderPacing pacing = new OrderPacing(ORDERS_PER_MINUTE);
+    private final OrderRateLimiter pacing = new OrderRateLimiter(ORDERS_PER_MINUTE);
 
     /** The sizes of pools that the platform stated in its answers, where its list may lag. */
     private final Map<String, Answered> answered = new HashMap<>();
@@ -103,11 +103,11 @@
      * @param time The sources of time.
      * @param events The event log.
      */
-    public OrderDesk(
+    public OrderDispatcher(
             String incarnation,
             FleetPlanner planner,
-            LeaseKeeper lease,
-            Blackboard blackboard,
+            LeaderElector lease,
+            ProcessState blackboard,
             LogFollower follower,
             ControlAppender appender,
             Platform platform,
@@ -154,8 +154,8 @@
      *
      * @param effect The effect.
      */
-    public void accept(Effect effect) {
-        if (!(effect instanceof Effect.IntentJudged judged)
+    public void accept(ApplyResult effect) {
+        if (!(effect instanceof ApplyResult.IntentResult judged)
                 || !judged.intent().holder().equals(incarnation)) {
             return;
         }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/usage/UsageReporter.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/usage/UsageReporter.java
@@ -2,7 +2,7 @@
 
 import org.cranberrygauge.controller.ControlAppender;
 import org.cranberrygauge.controller.ControllerEvents;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
+import org.cranberrygauge.decision.lease.LeaderElector;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.decision.usage.UsageLedger;
 import org.cranberrygauge.model.configuration.ControlTimes;
@@ -34,7 +34,7 @@
     private final String incarnation;
 
     /** Decides whether this controller holds the lease. */
-    private final LeaseKeeper lease;
+    private final LeaderElector lease;
 
     /** The follower, on whose context answers are taken. */
     private final LogFollower follower;
@@ -73,7 +73,7 @@
      */
     public UsageReporter(
             String incarnation,
-            LeaseKeeper lease,
+            LeaderElector lease,
             LogFollower follower,
             ControlAppender appender,
             Platform platform,
--- a/cranberrygauge-controller/src/test/java/org/cranberrygauge/controller/ControlAppenderTest.java
+++ b/cranberrygauge-controller/src/test/java/org/cranberrygauge/controller/ControlAppenderTest.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
+import org.cranberrygauge.decision.lease.LeaderElector;
 import org.cranberrygauge.decision.lease.LeaseState;
 import org.cranberrygauge.model.record.LogRecord.LeaseClaim;
 import org.cranberrygauge.model.record.LogRecord.WindowClose;
 import org.cranberrygauge.protocol.platform.PlatformLog;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
-import org.cranberrygauge.runtime.blackboard.LogPosition;
 import org.cranberrygauge.runtime.log.LogAppender;
+import org.cranberrygauge.runtime.state.LogPosition;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -29,7 +29,7 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final HeldLog log = new HeldLog();
-    private final Blackboard blackboard = new Blackboard(0);
+    private final ProcessState blackboard = new ProcessState(0);
     private final LogAppender appender = new LogAppender(vertx, log, "host-1/1");
     private final ControlAppender controlAppender = new ControlAppender(appender, blackboard);
 
@@ -40,7 +40,7 @@
 
     @Test
     void an_hour_without_the_log_queues_one_claim() {
-        LeaseKeeper lease = new LeaseKeeper("host-1/1", "host-1", 0);
+        LeaderElector lease = new LeaderElector("host-1/1", "host-1", 0);
         for (long nowMillis = 0; nowMillis < HOUR_MILLIS; nowMillis += 100) {
             if (controlAppender.isFree(CLAIM)) {
                 lease.decide(nowMillis, LEASE_MILLIS).ifPresent(claim -> controlAppender.append(CLAIM, claim));
@@ -51,7 +51,7 @@
 
     @Test
     void without_the_bound_an_hour_without_the_log_queues_a_claim_for_each_renewal() {
-        LeaseKeeper lease = new LeaseKeeper("host-1/1", "host-1", 0);
+        LeaderElector lease = new LeaderElector("host-1/1", "host-1", 0);
         for (long nowMillis = 0; nowMillis < HOUR_MILLIS; nowMillis += 100) {
             lease.decide(nowMillis, LEASE_MILLIS).ifPresent(appender::append);
         }
@@ -60,7 +60,7 @@
 
     @Test
     void a_claim_that_the_log_takes_an_hour_late_gives_its_writer_no_lease() {
-        LeaseKeeper lease = new LeaseKeeper("host-1/1", "host-1", 0);
+        LeaderElector lease = new LeaderElector("host-1/1", "host-1", 0);
         List<LeaseClaim> claims = new ArrayList<>();
         for (long nowMillis = 0; nowMillis < HOUR_MILLIS; nowMillis += 100) {
             if (controlAppender.isFree(CLAIM)) {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionPolicy.java
@@ -11,11 +11,11 @@
  * @param lines Creates the lines of a class.
  * @param waitLimit Decides up to which forecast wait a request is taken in.
  */
-public record AdmissionPolicy(ShareRule shares, Supplier<CustomerLines> lines, WaitLimit waitLimit) {
+public record AdmissionPolicy(GuaranteedSharePolicy shares, Supplier<CustomerQueues> lines, WaitLimit waitLimit) {
 
     /** The rules that gateways use. */
-    private static final AdmissionPolicy STANDARD =
-            new AdmissionPolicy(ShareRule.Deferring.INSTANCE, WeightedFairLines::new, WaitLimit.Target.INSTANCE);
+    private static final AdmissionPolicy STANDARD = new AdmissionPolicy(
+            GuaranteedSharePolicy.Deferring.INSTANCE, WeightedFairQueues::new, WaitLimit.Target.INSTANCE);
 
     /**
      * Returns the rules that gateways use.
@@ -32,7 +32,7 @@
      * @param replacement The rule.
      * @return The refined rules.
      */
-    public AdmissionPolicy withShares(ShareRule replacement) {
+    public AdmissionPolicy withShares(GuaranteedSharePolicy replacement) {
         return new AdmissionPolicy(replacement, lines, waitLimit);
     }
 
@@ -42,7 +42,7 @@
      * @param replacement Creates the lines of a class.
      * @return The refined rules.
      */
-    public AdmissionPolicy withLines(Supplier<CustomerLines> replacement) {
+    public AdmissionPolicy withLines(Supplier<CustomerQueues> replacement) {
         return new AdmissionPolicy(shares, replacement, waitLimit);
     }
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/ClassQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/ClassQueue.java
@@ -21,7 +21,7 @@
     private static final double PRESSING_SHARE = 0.5;
 
     /** The waiting requests. */
-    private final CustomerLines lines;
+    private final CustomerQueues lines;
 
     /** The requests by deadline; those that left are dropped when they come up. */
     private final PriorityQueue<QueuedRequest> deadlines =
@@ -42,7 +42,7 @@
      * @param serviceClass The class.
      * @param lines The lines of its customers.
      */
-    ClassQueue(ServiceClass serviceClass, CustomerLines lines) {
+    ClassQueue(ServiceClass serviceClass, CustomerQueues lines) {
         this.serviceClass = serviceClass;
         this.lines = lines;
     }
@@ -70,7 +70,7 @@
      *
      * @return The lines.
      */
-    CustomerLines lines() {
+    CustomerQueues lines() {
         return lines;
     }
 
@@ -103,11 +103,11 @@
      * @param nowMillis The present monotonic time in milliseconds.
      * @return The need.
      */
-    ShareRule.ClassNeed need(long nowMillis) {
+    GuaranteedSharePolicy.ClassNeed need(long nowMillis) {
         boolean starved = nowMillis - servedAtMillis >= serviceClass.firstTokenTargetMillis();
         long waitedMillis = nowMillis - deadlines.peek().arrivedAtMillis();
         boolean pressing = waitedMillis >= PRESSING_SHARE * serviceClass.firstTokenTargetMillis();
-        return new ShareRule.ClassNeed(credit, pressing, starved);
+        return new GuaranteedSharePolicy.ClassNeed(credit, pressing, starved);
     }
 
     /** Notes a start of any class on a target that this class waits for. */
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/CustomerLines.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/CustomerQueues.java
@@ -11,7 +11,7 @@
  *
  * <p>Implementations are used by one thread at a time.
  */
-public interface CustomerLines {
+public interface CustomerQueues {
 
     /**
      * Adds a request.
@@ -95,7 +95,7 @@
      *
      * <p>Used by one thread at a time.
      */
-    final class FirstInFirstOut implements CustomerLines {
+    final class FirstInFirstOut implements CustomerQueues {
 
         /** The requests by target. */
         private final Map<String, Deque<QueuedRequest>> byTarget = new HashMap<>();
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/FirstInFirstOutQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/FirstInFirstOutQueue.java
@@ -20,7 +20,7 @@
     private static final long RETRY_MILLIS = 1_000;
 
     /** The waiting requests in the order of arrival. */
-    private final CustomerLines lines = new CustomerLines.FirstInFirstOut();
+    private final CustomerQueues lines = new CustomerQueues.FirstInFirstOut();
 
     /** The waiting requests by identifier. */
     private final Map<Long, QueuedRequest> waiting = new HashMap<>();
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/ShareRule.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/GuaranteedSharePolicy.java
@@ -5,7 +5,7 @@
  *
  * <p>Implementations are stateless and safe for use by several threads.
  */
-public interface ShareRule {
+public interface GuaranteedSharePolicy {
 
     /** The credit from which a class is owed a start. */
     double CREDIT_OF_START = 1;
@@ -23,7 +23,7 @@
      * Grants the share to a class that would else miss its target, unless a higher tier is in danger, and one start to a
      * starved class in any case.
      */
-    enum Deferring implements ShareRule {
+    enum Deferring implements GuaranteedSharePolicy {
         /** The only instance. */
         INSTANCE;
 
@@ -35,7 +35,7 @@
     }
 
     /** Grants the share whatever the higher tiers suffer. */
-    enum Strict implements ShareRule {
+    enum Strict implements GuaranteedSharePolicy {
         /** The only instance. */
         INSTANCE;
 
@@ -46,7 +46,7 @@
     }
 
     /** Grants no share: strict priority. */
-    enum Disabled implements ShareRule {
+    enum Disabled implements GuaranteedSharePolicy {
         /** The only instance. */
         INSTANCE;
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/WeightedFairLines.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/WeightedFairQueues.java
@@ -15,7 +15,7 @@
  * it can't save up service; requests of one customer for one target start in the order of arrival; each operation
  * takes time logarithmic in the number of customers. Used by one thread at a time.
  */
-public final class WeightedFairLines implements CustomerLines {
+public final class WeightedFairQueues implements CustomerQueues {
 
     /** The number of customers that are tried for a target before it counts as unable to start any. */
     private static final int CUSTOMERS_TRIED = 4;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningView.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningView.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.cranberrygauge.decision.drain.DrainRegister;
+import org.cranberrygauge.decision.drain.DrainState;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.configuration.CleaningWindow;
 
@@ -19,7 +19,7 @@
 public record CleaningView(
         List<CleaningWindow> windows,
         List<BackendServer> servers,
-        DrainRegister drains,
+        DrainState drains,
         Map<String, Integer> inFlight,
         int waiting,
         boolean complete) {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationMachine.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationState.java
@@ -14,15 +14,15 @@
  * @param lastChangeId The identifier of the change that brought it into force.
  * @param lastOperator The operator of that change.
  */
-public record ConfigurationMachine(VersionedConfiguration current, String lastChangeId, String lastOperator) {
+public record ConfigurationState(VersionedConfiguration current, String lastChangeId, String lastOperator) {
 
     /**
      * Returns the state before any change.
      *
      * @return The initial state.
      */
-    public static ConfigurationMachine initial() {
-        return new ConfigurationMachine(VersionedConfiguration.initial(), "", "");
+    public static ConfigurationState initial() {
+        return new ConfigurationState(VersionedConfiguration.initial(), "", "");
     }
 
     /**
@@ -39,11 +39,11 @@
         if (offset <= current.version() || change.baseVersion() != current.version()) {
             return new Result(this, Verdict.CONFLICT);
         }
-        if (!ConfigurationChecks.problems(change.configuration()).isEmpty()) {
+        if (!ConfigurationValidator.problems(change.configuration()).isEmpty()) {
             return new Result(this, Verdict.INVALID);
         }
         VersionedConfiguration next = new VersionedConfiguration(offset, change.configuration());
-        return new Result(new ConfigurationMachine(next, change.changeId(), change.operator()), Verdict.ACCEPTED);
+        return new Result(new ConfigurationState(next, change.changeId(), change.operator()), Verdict.ACCEPTED);
     }
 
     /** What became of a change. */
@@ -64,5 +64,5 @@
      * @param machine The state after the change.
      * @param verdict What became of the change.
      */
-    public record Result(ConfigurationMachine machine, Verdict verdict) {}
+    public record Result(ConfigurationState machine, Verdict verdict) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationChecks.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationValidator.java
@@ -21,7 +21,7 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-public final class ConfigurationChecks {
+public final class ConfigurationValidator {
 
     /** The highest number of tiers. */
     private static final int TIERS = 8;
@@ -40,7 +40,7 @@
      *
      * @param configuration The configuration.
      */
-    private ConfigurationChecks(Configuration configuration) {
+    private ConfigurationValidator(Configuration configuration) {
         this.configuration = configuration;
     }
 
@@ -51,7 +51,7 @@
      * @return The faults; empty if there are none.
      */
     public static List<ConfigurationProblem> problems(Configuration configuration) {
-        ConfigurationChecks checks = new ConfigurationChecks(configuration);
+        ConfigurationValidator checks = new ConfigurationValidator(configuration);
         checks.checkNames();
         checks.checkClasses();
         checks.checkCustomers();
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/KeyRing.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/KeyIndex.java
@@ -13,10 +13,10 @@
  *
  * <p>Immutable and safe for use by several threads; a new index replaces it with each configuration.
  */
-public final class KeyRing {
+public final class KeyIndex {
 
     /** The index without any key. */
-    private static final KeyRing EMPTY = new KeyRing(Map.of());
+    private static final KeyIndex EMPTY = new KeyIndex(Map.of());
 
     /** The customers by the digest of their keys. */
     private final Map<KeyDigest, Owner> owners;
@@ -26,7 +26,7 @@
      *
      * @param owners The customers by the digest of their keys.
      */
-    private KeyRing(Map<KeyDigest, Owner> owners) {
+    private KeyIndex(Map<KeyDigest, Owner> owners) {
         this.owners = owners;
     }
 
@@ -35,7 +35,7 @@
      *
      * @return The empty index.
      */
-    public static KeyRing empty() {
+    public static KeyIndex empty() {
         return EMPTY;
     }
 
@@ -45,14 +45,14 @@
      * @param configuration The configuration.
      * @return The index.
      */
-    public static KeyRing of(Configuration configuration) {
+    public static KeyIndex of(Configuration configuration) {
         Map<KeyDigest, Owner> owners = new HashMap<>();
         for (Customer customer : configuration.customers()) {
             for (CustomerKey key : customer.keys()) {
                 owners.put(key.digest(), new Owner(customer, key.name()));
             }
         }
-        return new KeyRing(Map.copyOf(owners));
+        return new KeyIndex(Map.copyOf(owners));
     }
 
     /**
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/DispatchPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/DispatchPolicy.java
@@ -5,10 +5,10 @@
 import org.cranberrygauge.decision.estimate.OutputEstimate;
 import org.cranberrygauge.decision.preemption.PreemptionPolicy;
 import org.cranberrygauge.decision.routing.BackendTable;
+import org.cranberrygauge.decision.routing.OutlierDetection;
 import org.cranberrygauge.decision.routing.PredictedFirstToken;
-import org.cranberrygauge.decision.routing.PrefixMemory;
+import org.cranberrygauge.decision.routing.PrefixAffinity;
 import org.cranberrygauge.decision.routing.RoutingPolicy;
-import org.cranberrygauge.decision.routing.SpeedRule;
 import org.cranberrygauge.decision.share.SlotDivision;
 
 /**
@@ -41,8 +41,8 @@
     public static DispatchPolicy standard() {
         return new DispatchPolicy(
                 new TieredAdmissionQueue(),
-                new PredictedFirstToken(new PrefixMemory.Recent(PREFIX_LIMIT)),
-                new BackendTable(SlotDivision.DemandShare.INSTANCE, SpeedRule.PEERS),
+                new PredictedFirstToken(new PrefixAffinity.Recent(PREFIX_LIMIT)),
+                new BackendTable(SlotDivision.DemandShare.INSTANCE, OutlierDetection.PEERS),
                 PreemptionPolicy.LowestTierFirst.INSTANCE,
                 new OutputEstimate.Quantile(CHARGED_QUANTILE));
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/drain/DrainRegister.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/drain/DrainState.java
@@ -16,7 +16,7 @@
  * @param drains The drains by identifier.
  * @param ended The identifiers of the drains that ended lately, the newest last.
  */
-public record DrainRegister(Map<String, DrainStarted> drains, List<String> ended) {
+public record DrainState(Map<String, DrainStarted> drains, List<String> ended) {
 
     /** The number of ended drains that are remembered. */
     private static final int ENDED_LIMIT = 2_048;
@@ -25,7 +25,7 @@
     public static final long OPERATOR = 0;
 
     /** Copies the collections. */
-    public DrainRegister {
+    public DrainState {
         drains = Map.copyOf(drains);
         ended = List.copyOf(ended);
     }
@@ -35,8 +35,8 @@
      *
      * @return The initial state.
      */
-    public static DrainRegister initial() {
-        return new DrainRegister(Map.of(), List.of());
+    public static DrainState initial() {
+        return new DrainState(Map.of(), List.of());
     }
 
     /**
@@ -46,13 +46,13 @@
      * @param fencingNumber The fencing number in force.
      * @return The state after it.
      */
-    public DrainRegister apply(DrainStarted started, long fencingNumber) {
+    public DrainState apply(DrainStarted started, long fencingNumber) {
         if (started.fencingNumber() != OPERATOR && started.fencingNumber() != fencingNumber) {
             return this;
         }
         Map<String, DrainStarted> next = new HashMap<>(drains);
         next.put(started.drainId(), started);
-        return new DrainRegister(next, ended);
+        return new DrainState(next, ended);
     }
 
     /**
@@ -62,7 +62,7 @@
      * @param fencingNumber The fencing number in force.
      * @return The state after it.
      */
-    public DrainRegister apply(DrainEnded end, long fencingNumber) {
+    public DrainState apply(DrainEnded end, long fencingNumber) {
         if (end.fencingNumber() != OPERATOR && end.fencingNumber() != fencingNumber) {
             return this;
         }
@@ -72,7 +72,7 @@
         nextEnded.remove(end.drainId());
         nextEnded.add(end.drainId());
         int surplus = Math.max(0, nextEnded.size() - ENDED_LIMIT);
-        return new DrainRegister(next, nextEnded.subList(surplus, nextEnded.size()));
+        return new DrainState(next, nextEnded.subList(surplus, nextEnded.size()));
     }
 
     /**
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/DemandMeter.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/DemandEstimator.java
@@ -18,7 +18,7 @@
  * usage names no model, the tokens are divided among the models that can be ordered by their requests in flight. The classes
  * of all tiers but the lowest are protected. Used by one thread.
  */
-public final class DemandMeter {
+public final class DemandEstimator {
 
     /** The output tokens of a request of a class that no request of was counted yet. */
     private static final double UNKNOWN_TOKENS = 200;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetPlanner.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetPlanner.java
@@ -83,7 +83,7 @@
         private final FleetParameters parameters;
 
         /** The need of each model in the last while. */
-        private final Map<String, RecentMaximum> needs = new HashMap<>();
+        private final Map<String, SlidingWindowMaximum> needs = new HashMap<>();
 
         /**
          * Creates a planner.
@@ -123,7 +123,7 @@
         private int needed(long nowMillis, FleetView view, String model) {
             FleetView.ModelDemand demand = view.demandFor(model);
             int needed = parameters.serversFor(demand.tokensPerSecond() + demand.waitingTokens() / WORK_OFF_SECONDS);
-            return needs.computeIfAbsent(model, name -> new RecentMaximum(parameters.idleMillis()))
+            return needs.computeIfAbsent(model, name -> new SlidingWindowMaximum(parameters.idleMillis()))
                     .add(nowMillis, needed);
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/ForecastFleetPlanner.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/ForecastFleetPlanner.java
@@ -149,10 +149,10 @@
         private final DemandForecast protectedOnly = new DemandForecast();
 
         /** The need of all classes in the last while. */
-        private final RecentMaximum servers;
+        private final SlidingWindowMaximum servers;
 
         /** The need of the protected classes in the last while. */
-        private final RecentMaximum protectedServers;
+        private final SlidingWindowMaximum protectedServers;
 
         /** The monotonic time since which the demand is watched without a gap. */
         private long watchedSinceMillis;
@@ -166,8 +166,8 @@
          * @param idleMillis The time for which a server must be idle in milliseconds.
          */
         Memory(long idleMillis) {
-            servers = new RecentMaximum(idleMillis);
-            protectedServers = new RecentMaximum(idleMillis);
+            servers = new SlidingWindowMaximum(idleMillis);
+            protectedServers = new SlidingWindowMaximum(idleMillis);
         }
 
         /**
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/OrderPacing.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/OrderRateLimiter.java
@@ -14,7 +14,7 @@
  * order until its back-off is over, which doubles with each failure up to a limit; all pools together get a bounded number
  * of orders a minute. Used by one thread.
  */
-public final class OrderPacing {
+public final class OrderRateLimiter {
 
     /** The result of an order for which the data centre had no supply. */
     public static final String UNAVAILABLE = "unavailable";
@@ -48,7 +48,7 @@
      *
      * @param ordersPerMinute The highest number of orders in a minute.
      */
-    public OrderPacing(int ordersPerMinute) {
+    public OrderRateLimiter(int ordersPerMinute) {
         this.ordersPerMinute = ordersPerMinute;
     }
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/RecentMaximum.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/SlidingWindowMaximum.java
@@ -8,7 +8,7 @@
  *
  * <p>Used by one thread.
  */
-final class RecentMaximum {
+final class SlidingWindowMaximum {
 
     /** The length of the while in milliseconds. */
     private final long windowMillis;
@@ -21,7 +21,7 @@
      *
      * @param windowMillis The length of the while in milliseconds.
      */
-    RecentMaximum(long windowMillis) {
+    SlidingWindowMaximum(long windowMillis) {
         this.windowMillis = windowMillis;
     }
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/lease/LeaseKeeper.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/lease/LeaderElector.java
@@ -11,7 +11,7 @@
  * the full lease and a margin from when it read the last valid claim; a process that resigned never holds again. So two processes with sound monotonic clocks never
  * hold at once, whatever the log delays. Used by one thread.
  */
-public final class LeaseKeeper {
+public final class LeaderElector {
 
     /** The part of the lease after which the holder renews. */
     private static final int RENEWALS_PER_LEASE = 3;
@@ -56,7 +56,7 @@
      * @param host The host of this process.
      * @param nowMillis The present monotonic time in milliseconds.
      */
-    public LeaseKeeper(String incarnation, String host, long nowMillis) {
+    public LeaderElector(String incarnation, String host, long nowMillis) {
         this.incarnation = incarnation;
         this.host = host;
         this.readAtMillis = nowMillis;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GoneGateways.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayFailureDetector.java
@@ -10,7 +10,7 @@
  *
  * <p>A gateway that was declared gone and reads of it joins again before it admits.
  */
-public interface GoneGateways {
+public interface GatewayFailureDetector {
 
     /**
      * Decides which gateways are gone.
@@ -20,7 +20,7 @@
      * @param sightings What is known of their hosts.
      * @return The records to append.
      */
-    List<GatewayLeft> decide(long nowMillis, Members members, Collection<HostSighting> sightings);
+    List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings);
 
     /**
      * Declares a gateway gone once the platform no longer lists its host and nobody heard it for a time.
@@ -30,12 +30,12 @@
      *
      * @param absenceMillis The time without either in milliseconds; longer than the freshness bound and the list's lag.
      */
-    record Unlisted(long absenceMillis) implements GoneGateways {
+    record Unlisted(long absenceMillis) implements GatewayFailureDetector {
 
         @Override
-        public List<GatewayLeft> decide(long nowMillis, Members members, Collection<HostSighting> sightings) {
+        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings) {
             return sightings.stream()
-                    .filter(HostSighting::listed)
+                    .filter(HostLiveness::listed)
                     .filter(sighting -> nowMillis - sighting.lastListedMillis() > absenceMillis)
                     .filter(sighting -> nowMillis - sighting.lastHeardMillis() > absenceMillis)
                     .map(sighting -> members.onHost(sighting.host()))
@@ -52,10 +52,10 @@
      *
      * @param silenceMillis The time in milliseconds.
      */
-    record Silent(long silenceMillis) implements GoneGateways {
+    record Silent(long silenceMillis) implements GatewayFailureDetector {
 
         @Override
-        public List<GatewayLeft> decide(long nowMillis, Members members, Collection<HostSighting> sightings) {
+        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings) {
             return sightings.stream()
                     .filter(sighting -> nowMillis - sighting.lastHeardMillis() > silenceMillis)
                     .map(sighting -> members.onHost(sighting.host()))
@@ -66,12 +66,12 @@
     }
 
     /** Declares none gone; only a new gateway on the same host or an operator replaces one. */
-    enum Disabled implements GoneGateways {
+    enum Disabled implements GatewayFailureDetector {
         /** The only instance. */
         INSTANCE;
 
         @Override
-        public List<GatewayLeft> decide(long nowMillis, Members members, Collection<HostSighting> sightings) {
+        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings) {
             return List.of();
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostSighting.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLiveness.java
@@ -8,4 +8,4 @@
  * @param lastListedMillis The monotonic time at which the platform last listed it.
  * @param lastHeardMillis The monotonic time at which its gateway was last heard by any gateway.
  */
-public record HostSighting(String host, boolean listed, long lastListedMillis, long lastHeardMillis) {}
+public record HostLiveness(String host, boolean listed, long lastListedMillis, long lastHeardMillis) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostSightings.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLivenessTracker.java
@@ -14,7 +14,7 @@
  * <p>Invariants: a time never falls; absence counts only while the list is read again and again, so that an outage of the
  * platform makes no host absent. Used by one thread.
  */
-public final class HostSightings {
+public final class HostLivenessTracker {
 
     /** The longest time between two reads of the list after which absence counts from the later one, in milliseconds. */
     private static final long LONGEST_INTERVAL_MILLIS = 2_000;
@@ -65,12 +65,12 @@
      * @param members The gateways as they stand in the log.
      * @return The sightings.
      */
-    public List<HostSighting> of(long nowMillis, Members members) {
-        List<HostSighting> sightings = new ArrayList<>();
+    public List<HostLiveness> of(long nowMillis, Membership members) {
+        List<HostLiveness> sightings = new ArrayList<>();
         for (String host : members.byHost().keySet()) {
             long heard = heardAtMillis.computeIfAbsent(host, name -> nowMillis);
             long listed = listedAtMillis.computeIfAbsent(host, name -> nowMillis);
-            sightings.add(new HostSighting(host, everListed.contains(host), listed, heard));
+            sightings.add(new HostLiveness(host, everListed.contains(host), listed, heard));
         }
         return sightings;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/Members.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/Membership.java
@@ -15,10 +15,10 @@
  *
  * @param byHost The members by host.
  */
-public record Members(Map<String, GatewayMember> byHost) {
+public record Membership(Map<String, GatewayMember> byHost) {
 
     /** Copies the map. */
-    public Members {
+    public Membership {
         byHost = Map.copyOf(byHost);
     }
 
@@ -27,8 +27,8 @@
      *
      * @return The initial state.
      */
-    public static Members initial() {
-        return new Members(Map.of());
+    public static Membership initial() {
+        return new Membership(Map.of());
     }
 
     /**
@@ -37,12 +37,12 @@
      * @param joined The join.
      * @return The state after it.
      */
-    public Members apply(GatewayJoined joined) {
+    public Membership apply(GatewayJoined joined) {
         Map<String, GatewayMember> next = new HashMap<>(byHost);
         next.put(
                 joined.host(),
                 new GatewayMember(joined.gateway(), joined.host(), joined.dataCentre(), joined.address()));
-        return new Members(next);
+        return new Membership(next);
     }
 
     /**
@@ -51,10 +51,10 @@
      * @param left The end.
      * @return The state after it.
      */
-    public Members apply(GatewayLeft left) {
+    public Membership apply(GatewayLeft left) {
         Map<String, GatewayMember> next = new HashMap<>(byHost);
         next.values().removeIf(member -> member.gateway().equals(left.gateway()));
-        return new Members(next);
+        return new Membership(next);
     }
 
     /**
@@ -93,9 +93,9 @@
      * @param members The members.
      * @return The state.
      */
-    public static Members of(Collection<GatewayMember> members) {
+    public static Membership of(Collection<GatewayMember> members) {
         Map<String, GatewayMember> byHost = new HashMap<>();
         members.forEach(member -> byHost.put(member.host(), member));
-        return new Members(byHost);
+        return new Membership(byHost);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Knowledge.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/CrashHistory.java
@@ -16,17 +16,17 @@
  * @param cleared The time of the last completed run by request.
  * @param running The backend server of each run of a suspect.
  */
-record Knowledge(
+record CrashHistory(
         long heardAtMillis,
         Map<RequestFingerprint, List<CrashRecord>> crashes,
         Map<RequestFingerprint, Long> cleared,
         Map<RunId, String> running) {
 
     /** Nothing is known. */
-    static final Knowledge NONE = new Knowledge(0, Map.of(), Map.of(), Map.of());
+    static final CrashHistory NONE = new CrashHistory(0, Map.of(), Map.of(), Map.of());
 
     /** Copies the maps. */
-    Knowledge {
+    CrashHistory {
         crashes = Map.copyOf(crashes);
         cleared = Map.copyOf(cleared);
         running = Map.copyOf(running);
@@ -39,23 +39,23 @@
      * @param observations What the peer told.
      * @return The knowledge.
      */
-    static Knowledge of(long nowMillis, Collection<Observation> observations) {
+    static CrashHistory of(long nowMillis, Collection<QuarantineObservation> observations) {
         Map<RequestFingerprint, List<CrashRecord>> crashes = new HashMap<>();
         Map<RequestFingerprint, Long> cleared = new HashMap<>();
         Map<RunId, String> running = new HashMap<>();
-        for (Observation observation : observations) {
-            if (observation instanceof Observation.Crashed crashed) {
+        for (QuarantineObservation observation : observations) {
+            if (observation instanceof QuarantineObservation.Crashed crashed) {
                 long crashedAtMillis = nowMillis - crashed.ageMillis();
                 CrashRecord record =
                         new CrashRecord(crashed.server(), crashedAtMillis - crashed.runMillis(), crashedAtMillis);
-                crashes.merge(crashed.fingerprint(), List.of(record), Knowledge::joined);
-            } else if (observation instanceof Observation.Cleared done) {
+                crashes.merge(crashed.fingerprint(), List.of(record), CrashHistory::joined);
+            } else if (observation instanceof QuarantineObservation.Cleared done) {
                 cleared.put(done.fingerprint(), nowMillis - done.ageMillis());
-            } else if (observation instanceof Observation.Running run) {
+            } else if (observation instanceof QuarantineObservation.Running run) {
                 running.put(new RunId(run.fingerprint(), run.server()), run.server());
             }
         }
-        return new Knowledge(nowMillis, crashes, cleared, running);
+        return new CrashHistory(nowMillis, crashes, cleared, running);
     }
 
     /**
@@ -64,8 +64,8 @@
      * @param replacement The new crashes.
      * @return The refined knowledge.
      */
-    Knowledge withCrashes(Map<RequestFingerprint, List<CrashRecord>> replacement) {
-        return new Knowledge(heardAtMillis, replacement, cleared, running);
+    CrashHistory withCrashes(Map<RequestFingerprint, List<CrashRecord>> replacement) {
+        return new CrashHistory(heardAtMillis, replacement, cleared, running);
     }
 
     /**
@@ -74,8 +74,8 @@
      * @param replacement The new completed runs.
      * @return The refined knowledge.
      */
-    Knowledge withCleared(Map<RequestFingerprint, Long> replacement) {
-        return new Knowledge(heardAtMillis, crashes, replacement, running);
+    CrashHistory withCleared(Map<RequestFingerprint, Long> replacement) {
+        return new CrashHistory(heardAtMillis, crashes, replacement, running);
     }
 
     /**
@@ -84,8 +84,8 @@
      * @param replacement The new runs.
      * @return The refined knowledge.
      */
-    Knowledge withRunning(Map<RunId, String> replacement) {
-        return new Knowledge(heardAtMillis, crashes, cleared, replacement);
+    CrashHistory withRunning(Map<RunId, String> replacement) {
+        return new CrashHistory(heardAtMillis, crashes, cleared, replacement);
     }
 
     /**
@@ -94,7 +94,7 @@
      * @param fromMillis The time in milliseconds.
      * @return The refined knowledge.
      */
-    Knowledge after(long fromMillis) {
+    CrashHistory after(long fromMillis) {
         Map<RequestFingerprint, List<CrashRecord>> keptCrashes = new HashMap<>();
         crashes.forEach((fingerprint, records) -> {
             List<CrashRecord> kept = records.stream()
@@ -106,7 +106,7 @@
         });
         Map<RequestFingerprint, Long> keptCleared = new HashMap<>(cleared);
         keptCleared.values().removeIf(atMillis -> atMillis <= fromMillis);
-        return new Knowledge(heardAtMillis, keptCrashes, keptCleared, running);
+        return new CrashHistory(heardAtMillis, keptCrashes, keptCleared, running);
     }
 
     /**
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Quarantine.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Quarantine.java
@@ -19,7 +19,7 @@
      * @param fingerprint The request.
      * @return Its standing.
      */
-    Standing standing(long nowMillis, RequestFingerprint fingerprint);
+    QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint);
 
     /**
      * Tells whether a request may start on a backend server.
@@ -72,7 +72,7 @@
      * @param nowMillis The present monotonic time in milliseconds.
      * @return The observations.
      */
-    List<Observation> observations(long nowMillis);
+    List<QuarantineObservation> observations(long nowMillis);
 
     /**
      * Takes in what a peer told.
@@ -81,7 +81,7 @@
      * @param peer The incarnation of the peer.
      * @param observations What it told.
      */
-    void heard(long nowMillis, String peer, Collection<Observation> observations);
+    void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations);
 
     /** Suspects, isolates and holds requests as the state says, which is replaced whole. */
     final class Default implements Quarantine {
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public Standing standing(long nowMillis, RequestFingerprint fingerprint) {
+        public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
             return state.get().standing(nowMillis, fingerprint);
         }
 
@@ -110,7 +110,7 @@
 
         @Override
         public void started(long nowMillis, RunId runId, String server) {
-            if (standing(nowMillis, runId.fingerprint()) != Standing.Clear.INSTANCE) {
+            if (standing(nowMillis, runId.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
                 update(before -> before.withRun(runId, server));
             }
         }
@@ -131,12 +131,12 @@
         }
 
         @Override
-        public List<Observation> observations(long nowMillis) {
+        public List<QuarantineObservation> observations(long nowMillis) {
             return state.get().observations(nowMillis);
         }
 
         @Override
-        public void heard(long nowMillis, String peer, Collection<Observation> observations) {
+        public void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
             update(before -> before.withPeer(nowMillis, peer, observations));
         }
 
@@ -156,8 +156,8 @@
         INSTANCE;
 
         @Override
-        public Standing standing(long nowMillis, RequestFingerprint fingerprint) {
-            return Standing.Clear.INSTANCE;
+        public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
+            return QuarantineStatus.Clear.INSTANCE;
         }
 
         @Override
@@ -186,12 +186,12 @@
         }
 
         @Override
-        public List<Observation> observations(long nowMillis) {
+        public List<QuarantineObservation> observations(long nowMillis) {
             return List.of();
         }
 
         @Override
-        public void heard(long nowMillis, String peer, Collection<Observation> observations) {
+        public void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
             // Nothing is noted.
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Observation.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineObservation.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.decision.quarantine;
 
 /** What one gateway tells its peers of suspected requests; times are ages, so that clocks need not agree. */
-public sealed interface Observation {
+public sealed interface QuarantineObservation {
 
     /**
      * Returns the request that it is about.
@@ -19,7 +19,7 @@
      * @param ageMillis The time since the crash in milliseconds.
      */
     record Crashed(RequestFingerprint fingerprint, String server, long runMillis, long ageMillis)
-            implements Observation {}
+            implements QuarantineObservation {}
 
     /**
      * The request was completed after it had been suspected.
@@ -27,7 +27,7 @@
      * @param fingerprint The request.
      * @param ageMillis The time since the completion in milliseconds.
      */
-    record Cleared(RequestFingerprint fingerprint, long ageMillis) implements Observation {}
+    record Cleared(RequestFingerprint fingerprint, long ageMillis) implements QuarantineObservation {}
 
     /**
      * A suspected request runs.
@@ -35,5 +35,5 @@
      * @param fingerprint The request.
      * @param server The name of the backend server.
      */
-    record Running(RequestFingerprint fingerprint, String server) implements Observation {}
+    record Running(RequestFingerprint fingerprint, String server) implements QuarantineObservation {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineState.java
@@ -24,10 +24,10 @@
     private final QuarantineLimits limits;
 
     /** What this gateway saw itself. */
-    private final Knowledge own;
+    private final CrashHistory own;
 
     /** What each peer told last, by incarnation. */
-    private final Map<String, Knowledge> peers;
+    private final Map<String, CrashHistory> peers;
 
     /** What follows for each suspected request. */
     private final Map<RequestFingerprint, Verdict> verdicts;
@@ -39,7 +39,7 @@
      * @param own What this gateway saw itself.
      * @param peers What each peer told last.
      */
-    private QuarantineState(QuarantineLimits limits, Knowledge own, Map<String, Knowledge> peers) {
+    private QuarantineState(QuarantineLimits limits, CrashHistory own, Map<String, CrashHistory> peers) {
         this.limits = limits;
         this.own = own;
         this.peers = Map.copyOf(peers);
@@ -53,7 +53,7 @@
      * @return The initial state.
      */
     public static QuarantineState initial(QuarantineLimits limits) {
-        return new QuarantineState(limits, Knowledge.NONE, Map.of());
+        return new QuarantineState(limits, CrashHistory.NONE, Map.of());
     }
 
     /**
@@ -63,16 +63,16 @@
      * @param fingerprint The request.
      * @return Its standing.
      */
-    public Standing standing(long nowMillis, RequestFingerprint fingerprint) {
+    public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
         Verdict verdict = verdicts.get(fingerprint);
         if (verdict == null || nowMillis - verdict.lastMillis() >= limits.memoryMillis()) {
-            return Standing.Clear.INSTANCE;
+            return QuarantineStatus.Clear.INSTANCE;
         }
         long remainingMillis = verdict.lastMillis() + limits.quarantineMillis() - nowMillis;
         if (verdict.crashes() >= limits.crashes() && remainingMillis > 0) {
-            return new Standing.Quarantined(remainingMillis);
+            return new QuarantineStatus.Quarantined(remainingMillis);
         }
-        return Standing.Suspect.INSTANCE;
+        return QuarantineStatus.Suspect.INSTANCE;
     }
 
     /**
@@ -85,11 +85,11 @@
      * @return Whether it may.
      */
     public boolean mayStart(long nowMillis, RequestFingerprint fingerprint, String server, int healthyServers) {
-        Standing standing = standing(nowMillis, fingerprint);
-        if (standing == Standing.Clear.INSTANCE) {
+        QuarantineStatus standing = standing(nowMillis, fingerprint);
+        if (standing == QuarantineStatus.Clear.INSTANCE) {
             return true;
         }
-        if (standing instanceof Standing.Quarantined || healthyServers < 2) {
+        if (standing instanceof QuarantineStatus.Quarantined || healthyServers < 2) {
             return false;
         }
         boolean ownSuspectThere = own.running().containsValue(server);
@@ -169,12 +169,12 @@
      * @param observations What it told.
      * @return The refined state.
      */
-    public QuarantineState withPeer(long nowMillis, String peer, Collection<Observation> observations) {
+    public QuarantineState withPeer(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
         if (observations.isEmpty() && !peers.containsKey(peer)) {
             return this;
         }
-        Map<String, Knowledge> replacement = new HashMap<>(peers);
-        replacement.put(peer, Knowledge.of(nowMillis, observations));
+        Map<String, CrashHistory> replacement = new HashMap<>(peers);
+        replacement.put(peer, CrashHistory.of(nowMillis, observations));
         return new QuarantineState(limits, own, replacement).withoutForgotten(nowMillis);
     }
 
@@ -184,19 +184,21 @@
      * @param nowMillis The present monotonic time in milliseconds.
      * @return The observations.
      */
-    public List<Observation> observations(long nowMillis) {
-        List<Observation> observations = new ArrayList<>();
+    public List<QuarantineObservation> observations(long nowMillis) {
+        List<QuarantineObservation> observations = new ArrayList<>();
         own.crashes()
-                .forEach((fingerprint, records) -> records.forEach(record -> observations.add(new Observation.Crashed(
-                        fingerprint,
-                        record.server(),
-                        record.crashedAtMillis() - record.startedAtMillis(),
-                        nowMillis - record.crashedAtMillis()))));
+                .forEach((fingerprint, records) ->
+                        records.forEach(record -> observations.add(new QuarantineObservation.Crashed(
+                                fingerprint,
+                                record.server(),
+                                record.crashedAtMillis() - record.startedAtMillis(),
+                                nowMillis - record.crashedAtMillis()))));
         own.cleared()
                 .forEach((fingerprint, atMillis) ->
-                        observations.add(new Observation.Cleared(fingerprint, nowMillis - atMillis)));
+                        observations.add(new QuarantineObservation.Cleared(fingerprint, nowMillis - atMillis)));
         own.running()
-                .forEach((runId, server) -> observations.add(new Observation.Running(runId.fingerprint(), server)));
+                .forEach((runId, server) ->
+                        observations.add(new QuarantineObservation.Running(runId.fingerprint(), server)));
         return observations;
     }
 
@@ -208,9 +210,9 @@
      */
     private QuarantineState withoutForgotten(long nowMillis) {
         long fromMillis = nowMillis - limits.memoryMillis();
-        Map<String, Knowledge> remaining = new HashMap<>();
+        Map<String, CrashHistory> remaining = new HashMap<>();
         peers.forEach((name, peer) -> {
-            Knowledge kept = peer.after(fromMillis);
+            CrashHistory kept = peer.after(fromMillis);
             if (!kept.isEmpty() || nowMillis - peer.heardAtMillis() <= limits.peerRunMillis()) {
                 remaining.put(name, kept);
             }
@@ -270,12 +272,12 @@
      * @return The crashes by request.
      */
     private Map<RequestFingerprint, List<CrashRecord>> openCrashes() {
-        List<Knowledge> sources = new ArrayList<>(peers.values());
+        List<CrashHistory> sources = new ArrayList<>(peers.values());
         sources.add(own);
         Map<RequestFingerprint, Long> cleared = new HashMap<>();
         sources.forEach(source -> source.cleared().forEach((name, at) -> cleared.merge(name, at, Math::max)));
         Map<RequestFingerprint, List<CrashRecord>> open = new HashMap<>();
-        for (Knowledge source : sources) {
+        for (CrashHistory source : sources) {
             source.crashes().forEach((fingerprint, records) -> {
                 long clearedAtMillis = cleared.getOrDefault(fingerprint, Long.MIN_VALUE);
                 for (CrashRecord record : records) {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/Reservations.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/Reservations.java
@@ -37,19 +37,19 @@
      * @param reservation The reservation.
      * @return The verdict for the call that wrote it.
      */
-    public ReservationVerdict reserve(long offset, long appendedAtMillis, Reservation reservation) {
+    public ReservationDecision reserve(long offset, long appendedAtMillis, Reservation reservation) {
         Name name = Name.of(reservation);
         ReservationState winner = winners.get(name);
         if (winner == null && names.containsKey(reservation.reservationId())) {
-            return ReservationVerdict.OtherBody.INSTANCE;
+            return ReservationDecision.OtherBody.INSTANCE;
         }
         if (winner == null) {
             winners.put(name, new ReservationState(offset, appendedAtMillis, reservation, null));
             names.put(reservation.reservationId(), name);
-            return ReservationVerdict.Won.INSTANCE;
+            return ReservationDecision.Won.INSTANCE;
         }
         if (winner.reservation().reservationId().equals(reservation.reservationId())) {
-            return ReservationVerdict.Won.INSTANCE;
+            return ReservationDecision.Won.INSTANCE;
         }
         return verdictAgainst(winner, reservation.bodyDigest());
     }
@@ -153,7 +153,7 @@
      * @param bodyDigest The digest of the method, path and body.
      * @return The verdict, or nothing if the key is free as far as this reader knows.
      */
-    public Optional<ReservationVerdict> lookup(String customer, String route, String key, String bodyDigest) {
+    public Optional<ReservationDecision> lookup(String customer, String route, String key, String bodyDigest) {
         return Optional.ofNullable(winners.get(new Name(customer, route, key)))
                 .map(winner -> verdictAgainst(winner, bodyDigest));
     }
@@ -224,17 +224,17 @@
      * @param bodyDigest The digest of the later call.
      * @return The verdict.
      */
-    private static ReservationVerdict verdictAgainst(ReservationState winner, String bodyDigest) {
+    private static ReservationDecision verdictAgainst(ReservationState winner, String bodyDigest) {
         if (!winner.reservation().bodyDigest().equals(bodyDigest)) {
-            return ReservationVerdict.OtherBody.INSTANCE;
+            return ReservationDecision.OtherBody.INSTANCE;
         }
         if (winner.outcome() == null) {
-            return ReservationVerdict.Running.INSTANCE;
+            return ReservationDecision.Running.INSTANCE;
         }
         if (winner.outcome().disposition() == Disposition.ANSWERED) {
-            return new ReservationVerdict.Answered(winner.outcome());
+            return new ReservationDecision.Answered(winner.outcome());
         }
-        return ReservationVerdict.Unknown.INSTANCE;
+        return ReservationDecision.Unknown.INSTANCE;
     }
 
     /**
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendTable.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendTable.java
@@ -24,7 +24,7 @@
     private final SlotDivision division;
 
     /** The comparison of speeds. */
-    private final SpeedRule speedRule;
+    private final OutlierDetection speedRule;
 
     /** The servers by name. */
     private final Map<String, BackendEntry> entries = new HashMap<>();
@@ -41,7 +41,7 @@
      * @param division The division of slots between gateways.
      * @param speedRule The comparison of speeds.
      */
-    public BackendTable(SlotDivision division, SpeedRule speedRule) {
+    public BackendTable(SlotDivision division, OutlierDetection speedRule) {
         this.division = division;
         this.speedRule = speedRule;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/SpeedRule.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/OutlierDetection.java
@@ -10,7 +10,7 @@
  *
  * <p>Stateless and safe for use by several threads; what it decides is kept in the entries of a table.
  */
-public enum SpeedRule {
+public enum OutlierDetection {
     /** Compares with the median of the peers, ejects the slowest up to a cap and readmits slowly. */
     PEERS {
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/PredictedFirstToken.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/PredictedFirstToken.java
@@ -33,14 +33,14 @@
     private static final double WAIT_MILLIS_PER_EXCESS = 200;
 
     /** Remembers where prefixes were read. */
-    private final PrefixMemory memory;
+    private final PrefixAffinity memory;
 
     /**
      * Creates a policy.
      *
      * @param memory Remembers where prefixes were read.
      */
-    public PredictedFirstToken(PrefixMemory memory) {
+    public PredictedFirstToken(PrefixAffinity memory) {
         this.memory = memory;
     }
 
@@ -58,10 +58,10 @@
             best = second;
             bestMillis = secondMillis;
         }
-        if (request.prefixDigest().isEmpty() || memory == PrefixMemory.Disabled.INSTANCE) {
+        if (request.prefixDigest().isEmpty() || memory == PrefixAffinity.Disabled.INSTANCE) {
             return Optional.of(best);
         }
-        PrefixMemory.Reading reading = memory.find(request.prefixDigest());
+        PrefixAffinity.Reading reading = memory.find(request.prefixDigest());
         BackendView cached =
                 reading == null ? candidates.home(request.prefixDigest()) : candidates.find(reading.server());
         if (cached != null) {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/PrefixMemory.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/PrefixAffinity.java
@@ -8,7 +8,7 @@
  *
  * <p>Implementations are used by one thread at a time.
  */
-public interface PrefixMemory {
+public interface PrefixAffinity {
 
     /**
      * Finds where a prefix was read last.
@@ -36,7 +36,7 @@
     record Reading(String server, long readAtMillis) {}
 
     /** Remembers the prefixes that were used last, up to a limit. */
-    final class Recent implements PrefixMemory {
+    final class Recent implements PrefixAffinity {
 
         /** The readings by digest, least recently used first. */
         private final Map<String, Reading> readings;
@@ -67,7 +67,7 @@
     }
 
     /** Remembers nothing. */
-    enum Disabled implements PrefixMemory {
+    enum Disabled implements PrefixAffinity {
         /** The only instance. */
         INSTANCE;
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/Snapshot.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/Snapshot.java
@@ -1,8 +1,8 @@
 package org.cranberrygauge.decision.snapshot;
 
 import java.util.List;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
-import org.cranberrygauge.decision.drain.DrainRegister;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
+import org.cranberrygauge.decision.drain.DrainState;
 import org.cranberrygauge.decision.lease.LeaseState;
 import org.cranberrygauge.decision.membership.GatewayMember;
 import org.cranberrygauge.decision.reservation.ReservationState;
@@ -31,15 +31,15 @@
 public record Snapshot(
         long offset,
         long logTimeMillis,
-        ConfigurationMachine configuration,
+        ConfigurationState configuration,
         LeaseState lease,
         List<GatewayMember> members,
-        DrainRegister drains,
+        DrainState drains,
         List<ReservationState> reservations,
         UsageLedger.Totals usage,
         List<WriterPosition> writers,
         List<OrderIntent> openOrders,
-        SnapshotMark previous) {
+        SnapshotPosition previous) {
 
     /** Copies the lists. */
     public Snapshot {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotMark.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotPosition.java
@@ -6,17 +6,17 @@
  * @param throughOffset The offset up to which it holds the log; 0 for none.
  * @param appendedAtMillis The time of the log at its last part in milliseconds of the epoch.
  */
-public record SnapshotMark(long throughOffset, long appendedAtMillis) {
+public record SnapshotPosition(long throughOffset, long appendedAtMillis) {
 
     /** No snapshot. */
-    private static final SnapshotMark NONE = new SnapshotMark(0, 0);
+    private static final SnapshotPosition NONE = new SnapshotPosition(0, 0);
 
     /**
      * Returns the mark of no snapshot.
      *
      * @return The mark.
      */
-    public static SnapshotMark none() {
+    public static SnapshotPosition none() {
         return NONE;
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotSchedule.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotSchedule.java
@@ -11,7 +11,7 @@
      * @param newest The newest whole snapshot.
      * @return Whether a snapshot is due.
      */
-    boolean isDue(long logTimeMillis, long offset, SnapshotMark newest);
+    boolean isDue(long logTimeMillis, long offset, SnapshotPosition newest);
 
     /**
      * Writes a snapshot each time the log has grown for an interval.
@@ -24,7 +24,7 @@
     record Periodic(long intervalMillis) implements SnapshotSchedule {
 
         @Override
-        public boolean isDue(long logTimeMillis, long offset, SnapshotMark newest) {
+        public boolean isDue(long logTimeMillis, long offset, SnapshotPosition newest) {
             return offset > newest.throughOffset() && logTimeMillis - newest.appendedAtMillis() >= intervalMillis;
         }
     }
@@ -35,7 +35,7 @@
         INSTANCE;
 
         @Override
-        public boolean isDue(long logTimeMillis, long offset, SnapshotMark newest) {
+        public boolean isDue(long logTimeMillis, long offset, SnapshotPosition newest) {
             return false;
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/Effect.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/ApplyResult.java
@@ -1,11 +1,11 @@
 package org.cranberrygauge.decision.state;
 
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.model.record.LogRecord.OrderIntent;
 
 /** What became of a record that somebody may wait for. */
-public sealed interface Effect {
+public sealed interface ApplyResult {
 
     /**
      * A reservation was judged.
@@ -13,7 +13,7 @@
      * @param reservationId The identifier of the reservation.
      * @param verdict The verdict.
      */
-    record ReservationJudged(String reservationId, ReservationVerdict verdict) implements Effect {}
+    record ReservationResult(String reservationId, ReservationDecision verdict) implements ApplyResult {}
 
     /**
      * The release of an idempotency key by an operator was judged.
@@ -22,7 +22,7 @@
      * @param operator The operator.
      * @param freed Whether the key is free.
      */
-    record ReleaseJudged(String reservationId, String operator, boolean freed) implements Effect {}
+    record ReleaseResult(String reservationId, String operator, boolean freed) implements ApplyResult {}
 
     /**
      * A change of the configuration was judged.
@@ -32,8 +32,8 @@
      * @param offset The offset of its log entry.
      * @param verdict The verdict.
      */
-    record ChangeJudged(String changeId, String operator, long offset, ConfigurationMachine.Verdict verdict)
-            implements Effect {}
+    record ChangeResult(String changeId, String operator, long offset, ConfigurationState.Verdict verdict)
+            implements ApplyResult {}
 
     /**
      * The intent of an order was judged.
@@ -41,5 +41,5 @@
      * @param intent The intent.
      * @param valid Whether it carries the fencing number in force.
      */
-    record IntentJudged(OrderIntent intent, boolean valid) implements Effect {}
+    record IntentResult(OrderIntent intent, boolean valid) implements ApplyResult {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/LogState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/LogState.java
@@ -6,14 +6,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
-import org.cranberrygauge.decision.drain.DrainRegister;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
+import org.cranberrygauge.decision.drain.DrainState;
 import org.cranberrygauge.decision.lease.LeaseState;
-import org.cranberrygauge.decision.membership.Members;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.membership.Membership;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.decision.reservation.Reservations;
 import org.cranberrygauge.decision.snapshot.Snapshot;
-import org.cranberrygauge.decision.snapshot.SnapshotMark;
+import org.cranberrygauge.decision.snapshot.SnapshotPosition;
 import org.cranberrygauge.decision.snapshot.WriterPosition;
 import org.cranberrygauge.decision.usage.UsageLedger;
 import org.cranberrygauge.model.record.LogEntry;
@@ -41,16 +41,16 @@
     private final Map<String, WriterPosition> writers = new LinkedHashMap<>();
 
     /** The configuration. */
-    private ConfigurationMachine configuration = ConfigurationMachine.initial();
+    private ConfigurationState configuration = ConfigurationState.initial();
 
     /** The lease. */
     private LeaseState lease = LeaseState.initial();
 
     /** The gateways. */
-    private Members members = Members.initial();
+    private Membership members = Membership.initial();
 
     /** The drains. */
-    private DrainRegister drains = DrainRegister.initial();
+    private DrainState drains = DrainState.initial();
 
     /** The reserved calls. */
     private final Reservations reservations = new Reservations();
@@ -62,7 +62,7 @@
     private final Map<String, LogRecord.OrderIntent> openOrders = new HashMap<>();
 
     /** The newest whole snapshot in the log. */
-    private SnapshotMark snapshot = SnapshotMark.none();
+    private SnapshotPosition snapshot = SnapshotPosition.none();
 
     /**
      * Applies an entry.
@@ -72,7 +72,7 @@
      * @param entry The entry.
      * @return What became of records that somebody may wait for.
      */
-    public List<Effect> apply(long entryOffset, long appendedAtMillis, LogEntry entry) {
+    public List<ApplyResult> apply(long entryOffset, long appendedAtMillis, LogEntry entry) {
         if (entryOffset <= offset) {
             return List.of();
         }
@@ -85,7 +85,7 @@
         }
         writers.remove(entry.writer());
         writers.put(entry.writer(), new WriterPosition(entry.writer(), entry.sequence(), logTimeMillis));
-        List<Effect> effects = new ArrayList<>();
+        List<ApplyResult> effects = new ArrayList<>();
         for (LogRecord record : entry.records()) {
             apply(record, effects);
         }
@@ -135,7 +135,7 @@
         logTimeMillis = from.logTimeMillis();
         configuration = from.configuration();
         lease = from.lease();
-        members = Members.of(from.members());
+        members = Membership.of(from.members());
         drains = from.drains();
         reservations.restore(from.reservations());
         usage.restore(from.usage());
@@ -164,29 +164,29 @@
      * @param record The record.
      * @param effects Takes what became of it.
      */
-    private void apply(LogRecord record, List<Effect> effects) {
+    private void apply(LogRecord record, List<ApplyResult> effects) {
         if (record instanceof LogRecord.ConfigurationChange change) {
-            ConfigurationMachine.Result result = configuration.apply(offset, change);
+            ConfigurationState.Result result = configuration.apply(offset, change);
             configuration = result.machine();
-            effects.add(new Effect.ChangeJudged(change.changeId(), change.operator(), offset, result.verdict()));
+            effects.add(new ApplyResult.ChangeResult(change.changeId(), change.operator(), offset, result.verdict()));
         } else if (record instanceof LogRecord.LeaseClaim claim) {
             lease = lease.apply(offset, claim);
         } else if (record instanceof LogRecord.LeaseRelease release) {
             lease = lease.apply(release);
         } else if (record instanceof LogRecord.Reservation reservation) {
-            ReservationVerdict verdict = reservations.reserve(offset, logTimeMillis, reservation);
-            effects.add(new Effect.ReservationJudged(reservation.reservationId(), verdict));
+            ReservationDecision verdict = reservations.reserve(offset, logTimeMillis, reservation);
+            effects.add(new ApplyResult.ReservationResult(reservation.reservationId(), verdict));
         } else if (record instanceof LogRecord.ReservationOutcome outcome) {
             reservations.record(outcome);
         } else if (record instanceof LogRecord.ReservationRelease release) {
             boolean freed = reservations.release(logTimeMillis, release.reservationId());
-            effects.add(new Effect.ReleaseJudged(release.reservationId(), release.operator(), freed));
+            effects.add(new ApplyResult.ReleaseResult(release.reservationId(), release.operator(), freed));
         } else if (record instanceof LogRecord.OrderIntent intent) {
             boolean valid = intent.fencingNumber() == lease.fencingNumber() && !lease.released();
             if (valid) {
                 openOrders.put(intent.orderId(), intent);
             }
-            effects.add(new Effect.IntentJudged(intent, valid));
+            effects.add(new ApplyResult.IntentResult(intent, valid));
         } else {
             applyControl(record);
         }
@@ -219,7 +219,7 @@
         } else if (record instanceof LogRecord.DrainEnded ended) {
             drains = drains.apply(ended, lease.fencingNumber());
         } else if (record instanceof LogRecord.SnapshotPart part && part.index() == part.count() - 1) {
-            snapshot = new SnapshotMark(Math.max(snapshot.throughOffset(), part.throughOffset()), logTimeMillis);
+            snapshot = new SnapshotPosition(Math.max(snapshot.throughOffset(), part.throughOffset()), logTimeMillis);
         }
     }
 
@@ -237,7 +237,7 @@
      *
      * @return The state machine.
      */
-    public ConfigurationMachine configuration() {
+    public ConfigurationState configuration() {
         return configuration;
     }
 
@@ -255,7 +255,7 @@
      *
      * @return The members.
      */
-    public Members members() {
+    public Membership members() {
         return members;
     }
 
@@ -264,7 +264,7 @@
      *
      * @return The drains.
      */
-    public DrainRegister drains() {
+    public DrainState drains() {
         return drains;
     }
 
@@ -309,7 +309,7 @@
      *
      * @return The mark.
      */
-    public SnapshotMark snapshot() {
+    public SnapshotPosition snapshot() {
         return snapshot;
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageLedger.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageLedger.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.cranberrygauge.decision.membership.Members;
+import org.cranberrygauge.decision.membership.Membership;
 import org.cranberrygauge.model.record.LogRecord.UsageDelta;
 import org.cranberrygauge.model.record.LogRecord.WindowClose;
 import org.cranberrygauge.model.record.LogRecord.WindowReported;
@@ -62,7 +62,7 @@
      * @param beforeMillis The time of the log before which the last delta was, in milliseconds of the epoch.
      * @param members The gateways.
      */
-    public void forget(long beforeMillis, Members members) {
+    public void forget(long beforeMillis, Membership members) {
         Iterator<GatewayTotals> silent = totals.values().iterator();
         while (silent.hasNext()) {
             GatewayTotals gateway = silent.next();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/CustomerLinesTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/CustomerQueuesTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class CustomerLinesTest {
+class CustomerQueuesTest {
 
     @Property(tries = 200, seed = "7")
     void each_request_leaves_once_and_the_counts_agree(
             @ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 59) Integer> steps) {
-        CustomerLines lines = new WeightedFairLines();
+        CustomerQueues lines = new WeightedFairQueues();
         Map<Long, QueuedRequest> waiting = new HashMap<>();
         long number = 0;
         for (int step : steps) {
@@ -48,7 +48,7 @@
     @Property(tries = 50, seed = "7")
     void backlogged_customers_get_service_in_proportion_to_their_weights(
             @ForAll @IntRange(min = 1, max = 8) int weight) {
-        CustomerLines lines = new WeightedFairLines();
+        CustomerQueues lines = new WeightedFairQueues();
         for (int count = 0; count < 1_000; count++) {
             lines.add(new QueuedRequest(2L * count, "heavy", weight, "class", "model", 10, 0, 1));
             lines.add(new QueuedRequest(2L * count + 1, "light", 1, "class", "model", 10, 0, 1));
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/TieredAdmissionQueueTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/TieredAdmissionQueueTest.java
@@ -47,7 +47,7 @@
 
     @Test
     void without_shares_a_starved_class_goes_on_waiting() {
-        AdmissionQueue queue = queue(AdmissionPolicy.standard().withShares(ShareRule.Disabled.INSTANCE));
+        AdmissionQueue queue = queue(AdmissionPolicy.standard().withShares(GuaranteedSharePolicy.Disabled.INSTANCE));
         queue.offer(0, request(LOW, "one", 0));
         queue.offer(9_000, request(HIGH, "one", 9_000));
 
@@ -111,7 +111,7 @@
 
     @Test
     void in_the_order_of_arrival_a_customer_with_few_requests_waits_behind_one_that_has_many() {
-        assertThat(startsOfSmallCustomer(AdmissionPolicy.standard().withLines(CustomerLines.FirstInFirstOut::new)))
+        assertThat(startsOfSmallCustomer(AdmissionPolicy.standard().withLines(CustomerQueues.FirstInFirstOut::new)))
                 .isZero();
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/cleaning/CleaningPlannerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/cleaning/CleaningPlannerTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.cranberrygauge.decision.drain.DrainRegister;
+import org.cranberrygauge.decision.drain.DrainState;
 import org.cranberrygauge.model.backend.BackendKind;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.NetworkAddress;
@@ -32,7 +32,7 @@
     private final List<BackendServer> servers = new ArrayList<>(
             List.of(server("engine-1", "dk-east-a"), server("engine-2", "dk-east-a"), server("engine-3", "dk-east-b")));
     private final Map<String, Integer> inFlight = new HashMap<>();
-    private DrainRegister drains = DrainRegister.initial();
+    private DrainState drains = DrainState.initial();
     private int waiting;
     private boolean complete = true;
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/DemandMeterTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/DemandEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.cranberrygauge.decision.fleet.DemandMeter.GatewayLoad;
+import org.cranberrygauge.decision.fleet.DemandEstimator.GatewayLoad;
 import org.cranberrygauge.decision.fleet.FleetView.ModelDemand;
 import org.cranberrygauge.decision.usage.UsageSignals;
 import org.cranberrygauge.model.backend.Supply;
@@ -15,13 +15,13 @@
 import org.cranberrygauge.model.service.ServiceClass;
 import org.junit.jupiter.api.Test;
 
-class DemandMeterTest {
+class DemandEstimatorTest {
 
     private static final Configuration CONFIGURATION = Configuration.empty()
             .withClasses(List.of(serviceClass("chat", 1), serviceClass("study", 3)))
             .withFleet(List.of(new FleetPool("dk-east-a", "amber-large", Supply.CHEAP, 0, 4, 1)));
 
-    private final DemandMeter meter = new DemandMeter();
+    private final DemandEstimator meter = new DemandEstimator();
 
     @Test
     void the_rate_is_what_gateways_counted_since_the_last_round_and_all_but_the_lowest_tier_is_protected() {
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/OrderPacingTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/OrderRateLimiterTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class OrderPacingTest {
+class OrderRateLimiterTest {
 
     private static final String POOL = "dk-east-b/amber-large/cheap";
 
-    private final OrderPacing pacing = new OrderPacing(3);
+    private final OrderRateLimiter pacing = new OrderRateLimiter(3);
 
     @Test
     void two_orders_of_a_pool_are_a_second_apart() {
@@ -31,7 +31,7 @@
         long nowMillis = 0;
         long[] expected = {5_000, 10_000, 20_000, 40_000, 80_000, 160_000, 300_000, 300_000};
         for (long length : expected) {
-            pacing.ended(nowMillis, POOL, OrderPacing.UNAVAILABLE);
+            pacing.ended(nowMillis, POOL, OrderRateLimiter.UNAVAILABLE);
             assertThat(pacing.unavailable(nowMillis + length - 1)).containsExactly(POOL);
             assertThat(pacing.unavailable(nowMillis + length)).isEmpty();
             nowMillis += length;
@@ -40,11 +40,11 @@
 
     @Test
     void a_pool_that_has_supply_again_starts_from_the_first_back_off() {
-        pacing.ended(0, POOL, OrderPacing.UNAVAILABLE);
-        pacing.ended(0, POOL, OrderPacing.UNAVAILABLE);
+        pacing.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
+        pacing.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
         pacing.ended(0, POOL, "done");
         assertThat(pacing.unavailable(0)).isEmpty();
-        pacing.ended(0, POOL, OrderPacing.UNAVAILABLE);
+        pacing.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
         assertThat(pacing.unavailable(5_000)).isEmpty();
     }
 }
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/lease/LeaseKeeperTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/lease/LeaderElectorTest.java
@@ -6,11 +6,11 @@
 import org.cranberrygauge.model.record.LogRecord.LeaseRelease;
 import org.junit.jupiter.api.Test;
 
-class LeaseKeeperTest {
+class LeaderElectorTest {
 
     private static final long LEASE_MILLIS = 6_000;
 
-    private final LeaseKeeper keeper = new LeaseKeeper("a", "host-a", 0);
+    private final LeaderElector keeper = new LeaderElector("a", "host-a", 0);
 
     @Test
     void a_claim_that_is_sent_again_counts_from_the_first_sending() {
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/AdmissionFreshnessTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/AdmissionFreshnessTest.java
@@ -62,16 +62,16 @@
 
     @Test
     void a_host_is_gone_only_when_the_platform_stopped_listing_it_and_nobody_hears_it() {
-        Members members = Members.of(List.of(new GatewayMember("g", "host-1", "d", "a:1")));
-        GoneGateways gone = new GoneGateways.Unlisted(10_000);
+        Membership members = Membership.of(List.of(new GatewayMember("g", "host-1", "d", "a:1")));
+        GatewayFailureDetector gone = new GatewayFailureDetector.Unlisted(10_000);
 
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostSighting("host-1", true, 0, 0))))
+        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, 0, 0))))
                 .hasSize(1);
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostSighting("host-1", true, NOW_MILLIS, 0))))
+        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, NOW_MILLIS, 0))))
                 .isEmpty();
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostSighting("host-1", true, 0, NOW_MILLIS))))
+        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, 0, NOW_MILLIS))))
                 .isEmpty();
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostSighting("host-1", false, 0, 0))))
+        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", false, 0, 0))))
                 .isEmpty();
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostSightingsTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
@@ -6,12 +6,12 @@
 import org.cranberrygauge.model.record.LogRecord.GatewayJoined;
 import org.junit.jupiter.api.Test;
 
-class HostSightingsTest {
+class HostLivenessTrackerTest {
 
-    private static final GoneGateways RULE = new GoneGateways.Unlisted(10_000);
+    private static final GatewayFailureDetector RULE = new GatewayFailureDetector.Unlisted(10_000);
 
-    private final HostSightings sightings = new HostSightings();
-    private final Members members = Members.initial()
+    private final HostLivenessTracker sightings = new HostLivenessTracker();
+    private final Membership members = Membership.initial()
             .apply(new GatewayJoined("host-1/1", "host-1", "a", "127.0.0.1:1"))
             .apply(new GatewayJoined("host-2/1", "host-2", "a", "127.0.0.1:2"));
 
@@ -23,7 +23,7 @@
         assertThat(RULE.decide(12_500, members, sightings.of(12_500, members)))
                 .extracting("gateway")
                 .containsExactly("host-2/1");
-        assertThat(GoneGateways.Disabled.INSTANCE.decide(12_500, members, sightings.of(12_500, members)))
+        assertThat(GatewayFailureDetector.Disabled.INSTANCE.decide(12_500, members, sightings.of(12_500, members)))
                 .isEmpty();
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/reservation/ReservationsTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/reservation/ReservationsTest.java
@@ -19,7 +19,7 @@
         reservations.expire(2 * DAY_MILLIS + 1, DAY_MILLIS);
 
         assertThat(reservations.reserve(2, 2 * DAY_MILLIS + 1, reservation("second", 0)))
-                .isEqualTo(ReservationVerdict.Running.INSTANCE);
+                .isEqualTo(ReservationDecision.Running.INSTANCE);
     }
 
     @Test
@@ -34,11 +34,13 @@
     void an_answer_that_comes_after_its_gateway_was_declared_gone_replaces_the_unknown_outcome() {
         reservations.reserve(1, 0, reservation("first", 0));
         reservations.gatewayLeft("gateway");
-        assertThat(reservations.reserve(2, 1, reservation("second", 0))).isEqualTo(ReservationVerdict.Unknown.INSTANCE);
+        assertThat(reservations.reserve(2, 1, reservation("second", 0)))
+                .isEqualTo(ReservationDecision.Unknown.INSTANCE);
 
         reservations.record(outcome("first", Disposition.ANSWERED));
 
-        assertThat(reservations.reserve(3, 2, reservation("third", 0))).isInstanceOf(ReservationVerdict.Answered.class);
+        assertThat(reservations.reserve(3, 2, reservation("third", 0)))
+                .isInstanceOf(ReservationDecision.Answered.class);
     }
 
     @Test
@@ -48,7 +50,7 @@
         reservations.record(outcome("first", Disposition.NOT_RUN));
 
         assertThat(reservations.reserve(2, 1, reservation("second", 0)))
-                .isInstanceOf(ReservationVerdict.Answered.class);
+                .isInstanceOf(ReservationDecision.Answered.class);
     }
 
     @Test
@@ -60,7 +62,7 @@
 
         assertThat(reservations.release(599_999, "first")).isFalse();
         assertThat(reservations.release(600_000, "first")).isTrue();
-        assertThat(reservations.reserve(2, 1, reservation("second", 0))).isEqualTo(ReservationVerdict.Won.INSTANCE);
+        assertThat(reservations.reserve(2, 1, reservation("second", 0))).isEqualTo(ReservationDecision.Won.INSTANCE);
     }
 
     @Test
@@ -68,7 +70,7 @@
         reservations.reserve(1, 0, reservation("first", 0));
         Reservation other = new Reservation("first", "customer", "/bookings", "other", "body", "gateway", 0);
 
-        assertThat(reservations.reserve(2, 1, other)).isEqualTo(ReservationVerdict.OtherBody.INSTANCE);
+        assertThat(reservations.reserve(2, 1, other)).isEqualTo(ReservationDecision.OtherBody.INSTANCE);
     }
 
     @Test
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/routing/BackendTableTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/routing/BackendTableTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void a_server_is_a_candidate_while_it_has_a_slot_that_peers_do_not_use() {
-        BackendTable table = table(SpeedRule.PEERS, 1);
+        BackendTable table = table(OutlierDetection.PEERS, 1);
         table.exchange(Map.of("engine-0", 2), GatewayDemand.alone());
         assertThat(table.candidates("model").size()).isEqualTo(1);
         table.started("engine-0");
@@ -31,7 +31,7 @@
 
     @Test
     void a_failed_server_gets_no_work_for_a_second() {
-        BackendTable table = table(SpeedRule.PEERS, 2);
+        BackendTable table = table(OutlierDetection.PEERS, 2);
         table.failed(0, "engine-1");
         table.refresh(999);
         assertThat(table.candidates("model").find("engine-1")).isNull();
@@ -41,7 +41,7 @@
 
     @Test
     void a_server_that_is_slow_against_its_peers_is_ejected_and_readmitted_slowly() {
-        BackendTable table = table(SpeedRule.PEERS, 8);
+        BackendTable table = table(OutlierDetection.PEERS, 8);
         measure(table, 30);
         assertThat(table.compare(0)).extracting(BackendTable.Ejection::ejected).containsExactly(true);
         assertThat(table.candidates("model").find("engine-0")).isNull();
@@ -55,7 +55,7 @@
 
     @Test
     void without_the_comparison_a_slow_server_goes_on_getting_work() {
-        BackendTable table = table(SpeedRule.DISABLED, 8);
+        BackendTable table = table(OutlierDetection.DISABLED, 8);
         measure(table, 30);
         assertThat(table.compare(0)).isEmpty();
         assertThat(table.candidates("model").find("engine-0")).isNotNull();
@@ -63,7 +63,7 @@
 
     @Test
     void no_more_than_a_quarter_of_the_servers_is_ejected_at_once() {
-        BackendTable table = table(SpeedRule.PEERS, 8);
+        BackendTable table = table(OutlierDetection.PEERS, 8);
         for (int index = 0; index < 8; index++) {
             for (int count = 0; count < 5; count++) {
                 table.measured(0, "engine-" + index, index < 4 ? 50 : 10);
@@ -75,18 +75,18 @@
 
     @Test
     void a_prompt_goes_to_the_server_that_read_its_prefix() {
-        RoutingPolicy routing = new PredictedFirstToken(new PrefixMemory.Recent(10));
+        RoutingPolicy routing = new PredictedFirstToken(new PrefixAffinity.Recent(10));
         assertThat(differentServers(routing)).isEqualTo(1);
     }
 
     @Test
     void without_a_memory_prompts_of_one_prefix_go_anywhere() {
-        RoutingPolicy routing = new PredictedFirstToken(PrefixMemory.Disabled.INSTANCE);
+        RoutingPolicy routing = new PredictedFirstToken(PrefixAffinity.Disabled.INSTANCE);
         assertThat(differentServers(routing)).isGreaterThan(1);
     }
 
     private static long differentServers(RoutingPolicy routing) {
-        BackendTable table = table(SpeedRule.PEERS, 8);
+        BackendTable table = table(OutlierDetection.PEERS, 8);
         Random random = new Random(3);
         RoutingRequest request = new RoutingRequest("model", "prefix", 4_000);
         List<String> servers = new ArrayList<>();
@@ -108,7 +108,7 @@
         }
     }
 
-    private static BackendTable table(SpeedRule rule, int servers) {
+    private static BackendTable table(OutlierDetection rule, int servers) {
         BackendTable table = new BackendTable(SlotDivision.ExchangedCounts.INSTANCE, rule);
         List<BackendServer> list = new ArrayList<>();
         for (int index = 0; index < servers; index++) {
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/snapshot/SnapshotTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/snapshot/SnapshotTest.java
@@ -79,9 +79,9 @@
     void a_snapshot_is_due_once_the_log_has_grown_for_an_interval_since_the_last_one() {
         SnapshotSchedule schedule = new SnapshotSchedule.Periodic(1_000);
 
-        assertThat(schedule.isDue(2_000, 7, new SnapshotMark(5, 1_001))).isFalse();
-        assertThat(schedule.isDue(2_001, 7, new SnapshotMark(5, 1_001))).isTrue();
-        assertThat(schedule.isDue(9_000, 5, new SnapshotMark(5, 1_001))).isFalse();
+        assertThat(schedule.isDue(2_000, 7, new SnapshotPosition(5, 1_001))).isFalse();
+        assertThat(schedule.isDue(2_001, 7, new SnapshotPosition(5, 1_001))).isTrue();
+        assertThat(schedule.isDue(9_000, 5, new SnapshotPosition(5, 1_001))).isFalse();
     }
 
     private static void assertSame(Snapshot actual, Snapshot expected) {
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/state/LogStateTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/state/LogStateTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.model.record.LogEntry;
 import org.cranberrygauge.model.record.LogRecord;
 import org.cranberrygauge.model.record.UsageFigures;
@@ -45,7 +45,8 @@
         state.apply(2, 1, entry("g", 2, new LogRecord.Reservation("r", "c", "/b", "key", "body", "g", 0)));
         state.apply(3, 2, entry("g", 3, joined));
 
-        assertThat(state.reservations().lookup("c", "/b", "key", "body")).contains(ReservationVerdict.Running.INSTANCE);
+        assertThat(state.reservations().lookup("c", "/b", "key", "body"))
+                .contains(ReservationDecision.Running.INSTANCE);
     }
 
     @Test
@@ -54,10 +55,10 @@
         LogRecord.ReservationRelease release = new LogRecord.ReservationRelease("r", "operator");
 
         assertThat(state.apply(2, HOUR_MILLIS, entry("o", 1, release)))
-                .containsExactly(new Effect.ReleaseJudged("r", "operator", false));
+                .containsExactly(new ApplyResult.ReleaseResult("r", "operator", false));
         state.apply(3, HOUR_MILLIS, entry("x", 1, new LogRecord.GatewayLeft("g", "test")));
         assertThat(state.apply(4, HOUR_MILLIS, entry("o", 2, release)))
-                .containsExactly(new Effect.ReleaseJudged("r", "operator", true));
+                .containsExactly(new ApplyResult.ReleaseResult("r", "operator", true));
     }
 
     @Test
@@ -66,7 +67,8 @@
         state.apply(2, 0, entry("c", 2, new LogRecord.LeaseRelease("c", 1)));
         LogRecord.OrderIntent intent = new LogRecord.OrderIntent("o", "c", 1, "pool", 1, "demand");
 
-        assertThat(state.apply(3, 0, entry("c", 3, intent))).containsExactly(new Effect.IntentJudged(intent, false));
+        assertThat(state.apply(3, 0, entry("c", 3, intent)))
+                .containsExactly(new ApplyResult.IntentResult(intent, false));
     }
 
     @Test
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorMain.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorMain.java
@@ -47,10 +47,10 @@
      * @return The exit status, or -1 while a stand-in goes on running.
      */
     private static int run(String... arguments) {
-        Map<String, StandInSettings> standIns = new LinkedHashMap<>();
-        standIns.put("platform", new StandInSettings.PlatformStandInSettings());
-        standIns.put("engine", new StandInSettings.EngineSettings());
-        standIns.put("service", new StandInSettings.ServiceSettings());
+        Map<String, EmulatorSettings> standIns = new LinkedHashMap<>();
+        standIns.put("platform", new EmulatorSettings.EmulatedPlatformSettings());
+        standIns.put("engine", new EmulatorSettings.EngineSettings());
+        standIns.put("service", new EmulatorSettings.ServiceSettings());
         ReplayCommand replay = new ReplayCommand();
         TraceCommand trace = new TraceCommand();
         GeneralSettings general = new GeneralSettings();
@@ -90,7 +90,7 @@
      * @param kind The kind of stand-in.
      * @param settings The settings.
      */
-    private static void start(String kind, StandInSettings settings) {
+    private static void start(String kind, EmulatorSettings settings) {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         Future<HttpServer> listening = settings.start(vertx);
         listening.onSuccess(
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/StandInSettings.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorSettings.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.Set;
 import org.cranberrygauge.emulator.engine.CrashAction;
+import org.cranberrygauge.emulator.engine.EmulatedEngine;
 import org.cranberrygauge.emulator.engine.EngineSpeed;
-import org.cranberrygauge.emulator.engine.EngineStandIn;
-import org.cranberrygauge.emulator.platform.PlatformStandIn;
-import org.cranberrygauge.emulator.service.ServiceStandIn;
+import org.cranberrygauge.emulator.platform.EmulatedPlatform;
+import org.cranberrygauge.emulator.service.EmulatedService;
 import org.cranberrygauge.model.backend.BackendKind;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.NetworkAddress;
@@ -30,7 +30,7 @@
  *
  * <p>Filled in by the settings parser before any thread starts, and only read afterwards.
  */
-abstract class StandInSettings {
+abstract class EmulatorSettings {
 
     /** The address to listen on. */
     @Parameter(
@@ -58,7 +58,7 @@
 
     /** The settings of the platform. */
     @Parameters(commandDescription = "Runs the stand-in of the platform")
-    static final class PlatformStandInSettings extends StandInSettings {
+    static final class EmulatedPlatformSettings extends EmulatorSettings {
 
         /** The time for which log entries are kept. */
         @Parameter(
@@ -90,15 +90,15 @@
 
         @Override
         Future<HttpServer> start(Vertx vertx) {
-            PlatformStandIn.Options options = new PlatformStandIn.Options(
+            EmulatedPlatform.Options options = new EmulatedPlatform.Options(
                     logRetentionMillis, checksFencing, startMillis, listLagMillis, weightMillis);
-            return new PlatformStandIn(vertx, options).listen(listenAddress());
+            return new EmulatedPlatform(vertx, options).listen(listenAddress());
         }
     }
 
     /** The settings of an engine. */
     @Parameters(commandDescription = "Runs the stand-in of an engine")
-    static final class EngineSettings extends StandInSettings {
+    static final class EngineSettings extends EmulatorSettings {
 
         /** The name of the backend server. */
         @Parameter(names = "--name", description = "Name of the backend server")
@@ -153,7 +153,7 @@
         @Override
         Future<HttpServer> start(Vertx vertx) {
             EngineSpeed speed = new EngineSpeed(slots, tokenIntervalMillis, loadSlope, prefillTokensPerSecond);
-            EngineStandIn engine = new EngineStandIn(
+            EmulatedEngine engine = new EmulatedEngine(
                     vertx, Set.copyOf(models), speed, cacheTokens, checksFencing, CrashAction.Halt.INSTANCE);
             return engine.listen(listenAddress())
                     .compose(server -> pool.isEmpty() ? Future.succeededFuture(server) : register(vertx, server));
@@ -177,7 +177,7 @@
                     pool.endsWith("cheap") ? Supply.CHEAP : Supply.REGULAR,
                     slots,
                     checksFencing);
-            String body = JsonCodec.write(new PlatformStandIn.Registration(pool, self));
+            String body = JsonCodec.write(new EmulatedPlatform.Registration(pool, self));
             HttpClient client = vertx.createHttpClient();
             return client.request(
                             HttpMethod.POST,
@@ -192,7 +192,7 @@
 
     /** The settings of a plain service. */
     @Parameters(commandDescription = "Runs the stand-in of a plain service")
-    static final class ServiceSettings extends StandInSettings {
+    static final class ServiceSettings extends EmulatorSettings {
 
         /** The time a call takes. */
         @Parameter(names = "--call-millis", description = "Milliseconds that a call takes")
@@ -200,7 +200,7 @@
 
         @Override
         Future<HttpServer> start(Vertx vertx) {
-            return new ServiceStandIn(vertx, callMillis).listen(listenAddress());
+            return new EmulatedService(vertx, callMillis).listen(listenAddress());
         }
     }
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStandIn.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EmulatedEngine.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.cranberrygauge.emulator.engine.EngineFaults.Fault;
+import org.cranberrygauge.emulator.web.EmulatorHttpServer;
 import org.cranberrygauge.emulator.web.FaultSwitch;
-import org.cranberrygauge.emulator.web.StandInServer;
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.model.record.UsageFigures;
 
@@ -24,7 +24,7 @@
  *
  * <p>All exchanges run on one event loop.
  */
-public final class EngineStandIn {
+public final class EmulatedEngine {
 
     /** The header with the label by which usage is counted. */
     public static final String USAGE_LABEL_HEADER = "X-Usage-Label";
@@ -108,7 +108,7 @@
      * @param checksFencing Whether orders with an old fencing number are refused.
      * @param crashAction What the engine does when a request crashes it.
      */
-    public EngineStandIn(
+    public EmulatedEngine(
             Vertx vertx,
             Set<String> models,
             EngineSpeed speed,
@@ -130,10 +130,10 @@
      * @return The server.
      */
     public Future<HttpServer> listen(NetworkAddress address) {
-        Router router = StandInServer.router(vertx);
+        Router router = EmulatorHttpServer.router(vertx);
         router.post("/v1/chat/completions").handler(this::complete);
         router.post("/v1/completions").handler(this::complete);
-        router.get("/counts").handler(context -> StandInServer.answer(context, counts()));
+        router.get("/counts").handler(context -> EmulatorHttpServer.answer(context, counts()));
         router.get("/load").handler(this::load);
         router.post("/role").handler(this::changeRole);
         router.get("/cache-events").handler(this::cacheEvents);
@@ -142,7 +142,7 @@
                 SAMPLE_MILLIS,
                 timer -> history.add(new LoadHistory.Sample(
                         System.currentTimeMillis(), running.size(), waiting.size(), cache.eventCount())));
-        return StandInServer.listen(vertx, router, address).onSuccess(listening -> server = listening);
+        return EmulatorHttpServer.listen(vertx, router, address).onSuccess(listening -> server = listening);
     }
 
     /**
@@ -163,7 +163,7 @@
         started++;
         credentials.add(String.valueOf(context.request().getHeader("Authorization")));
         context.request().headers().names().forEach(name -> headers.add(name.toLowerCase(Locale.ROOT)));
-        ChatRequest request = StandInServer.body(context, ChatRequest.class);
+        ChatRequest request = EmulatorHttpServer.body(context, ChatRequest.class);
         if (request == null || answeredByFault(context)) {
             return;
         }
@@ -172,7 +172,7 @@
             return;
         }
         if (!models.contains(request.model())) {
-            StandInServer.answer(context, NOT_FOUND, new StandInServer.Problem("no such model"));
+            EmulatorHttpServer.answer(context, NOT_FOUND, new EmulatorHttpServer.MessageBody("no such model"));
             return;
         }
         EngineStream stream = new EngineStream(this, context, request);
@@ -189,7 +189,8 @@
      */
     private boolean answeredByFault(RoutingContext context) {
         if (faults.isOn(Fault.STATUS)) {
-            StandInServer.answer(context, (int) faults.strength(Fault.STATUS), new StandInServer.Problem("fault"));
+            EmulatorHttpServer.answer(
+                    context, (int) faults.strength(Fault.STATUS), new EmulatorHttpServer.MessageBody("fault"));
             return true;
         }
         if (faults.isOn(Fault.GARBAGE)) {
@@ -197,7 +198,7 @@
             return true;
         }
         if (faults.isOn(Fault.DROP)) {
-            StandInServer.drop(context);
+            EmulatorHttpServer.drop(context);
             return true;
         }
         return faults.isOn(Fault.HANG);
@@ -272,7 +273,7 @@
         int published = faults.isOn(Fault.CACHE_EVENT_LAG_MILLIS)
                 ? sampleBefore(faults.strength(Fault.CACHE_EVENT_LAG_MILLIS)).cacheEvents()
                 : cache.eventCount();
-        StandInServer.answer(
+        EmulatorHttpServer.answer(
                 context,
                 cache.eventsAfter(after).stream()
                         .filter(event -> event.number() <= published)
@@ -287,7 +288,7 @@
      */
     private void load(RoutingContext context) {
         LoadHistory.Sample sample = sampleBefore(faults.strength(Fault.LOAD_LAG_MILLIS));
-        StandInServer.answer(
+        EmulatorHttpServer.answer(
                 context, new LoadReport(sample.running(), sample.waiting(), speed.slots(), sample.takenAtMillis()));
     }
 
@@ -307,17 +308,17 @@
      * @param context The exchange.
      */
     private void changeRole(RoutingContext context) {
-        RoleOrder order = StandInServer.body(context, RoleOrder.class);
+        RoleOrder order = EmulatorHttpServer.body(context, RoleOrder.class);
         if (order == null) {
             return;
         }
         if (checksFencing && order.fencingNumber() < highestFencing) {
-            StandInServer.answer(context, CONFLICT, new StandInServer.Problem("fenced"));
+            EmulatorHttpServer.answer(context, CONFLICT, new EmulatorHttpServer.MessageBody("fenced"));
             return;
         }
         highestFencing = Math.max(highestFencing, order.fencingNumber());
         models = Set.copyOf(order.models());
-        StandInServer.answer(context, order);
+        EmulatorHttpServer.answer(context, order);
     }
 
     /**
@@ -326,14 +327,14 @@
      * @param context The exchange.
      */
     private void switchFault(RoutingContext context) {
-        FaultSwitch change = StandInServer.body(context, FaultSwitch.class);
+        FaultSwitch change = EmulatorHttpServer.body(context, FaultSwitch.class);
         if (change == null) {
             return;
         }
         if (faults.change(change)) {
-            StandInServer.answer(context, change);
+            EmulatorHttpServer.answer(context, change);
         } else {
-            StandInServer.answer(context, BAD_REQUEST, new StandInServer.Problem("no such fault"));
+            EmulatorHttpServer.answer(context, BAD_REQUEST, new EmulatorHttpServer.MessageBody("no such fault"));
         }
     }
 
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStream.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStream.java
@@ -5,7 +5,7 @@
 import io.vertx.core.json.JsonObject;
 import io.vertx.ext.web.RoutingContext;
 import org.cranberrygauge.emulator.engine.EngineFaults.Fault;
-import org.cranberrygauge.emulator.web.StandInServer;
+import org.cranberrygauge.emulator.web.EmulatorHttpServer;
 import org.cranberrygauge.model.record.UsageFigures;
 
 /**
@@ -16,7 +16,7 @@
 final class EngineStream {
 
     /** The engine. */
-    private final EngineStandIn engine;
+    private final EmulatedEngine engine;
 
     /** The exchange. */
     private final RoutingContext context;
@@ -46,7 +46,7 @@
      * @param context The exchange.
      * @param request The request.
      */
-    EngineStream(EngineStandIn engine, RoutingContext context, ChatRequest request) {
+    EngineStream(EmulatedEngine engine, RoutingContext context, ChatRequest request) {
         this.engine = engine;
         this.context = context;
         this.request = request;
@@ -100,7 +100,7 @@
      */
     private boolean brokenByFault() {
         if (reached(Fault.BREAK_AFTER_TOKENS)) {
-            StandInServer.drop(context);
+            EmulatorHttpServer.drop(context);
             return true;
         }
         if (reached(Fault.GARBAGE_AFTER_TOKENS)) {
@@ -126,7 +126,7 @@
      * @return The priority as sent, 0 being the highest.
      */
     int priority() {
-        String header = context.request().getHeader(EngineStandIn.PRIORITY_HEADER);
+        String header = context.request().getHeader(EmulatedEngine.PRIORITY_HEADER);
         return header == null ? 0 : Integer.parseInt(header);
     }
 
@@ -243,7 +243,7 @@
 
     /** Counts what was generated here. */
     private void countUsage() {
-        String label = context.request().getHeader(EngineStandIn.USAGE_LABEL_HEADER);
+        String label = context.request().getHeader(EmulatedEngine.USAGE_LABEL_HEADER);
         engine.count(String.valueOf(label), new UsageFigures(1, promptTokens, generated));
     }
 
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/PlatformStandIn.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/EmulatedPlatform.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import org.cranberrygauge.emulator.web.EmulatorHttpServer;
 import org.cranberrygauge.emulator.web.FaultSwitch;
-import org.cranberrygauge.emulator.web.StandInServer;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.ListedBackendServer;
 import org.cranberrygauge.model.backend.NetworkAddress;
@@ -26,7 +26,7 @@
  *
  * <p>All exchanges run on one event loop.
  */
-public final class PlatformStandIn {
+public final class EmulatedPlatform {
 
     /** The status of an answer during an outage. */
     private static final int UNAVAILABLE = 503;
@@ -73,7 +73,7 @@
      * @param vertx The Vert.x instance.
      * @param options The options.
      */
-    public PlatformStandIn(Vertx vertx, Options options) {
+    public EmulatedPlatform(Vertx vertx, Options options) {
         this.vertx = vertx;
         this.log = new LogStore(options.retentionMillis());
         this.weights = new WeightStore(options.weightMillis());
@@ -88,7 +88,7 @@
      * @return The server.
      */
     public Future<HttpServer> listen(NetworkAddress address) {
-        Router router = StandInServer.router(vertx);
+        Router router = EmulatorHttpServer.router(vertx);
         router.post(PlatformMessages.APPEND_PATH).handler(this::append);
         router.get(PlatformMessages.RECORDS_PATH).handler(this::read);
         router.get(PlatformMessages.BACKEND_SERVERS_PATH).handler(this::list);
@@ -96,12 +96,12 @@
         router.get(PlatformMessages.ENTRY_HOSTS_PATH).handler(this::listEntryHosts);
         router.post(PlatformMessages.ENTRY_HOSTS_PATH).handler(this::setEntryHosts);
         router.post(PlatformMessages.ORDERS_PATH).handler(this::order);
-        router.get(PlatformMessages.ORDERS_PATH).handler(context -> StandInServer.answer(context, fleet.orders()));
+        router.get(PlatformMessages.ORDERS_PATH).handler(context -> EmulatorHttpServer.answer(context, fleet.orders()));
         router.post(PlatformMessages.USAGE_PATH).handler(this::report);
-        router.get(PlatformMessages.USAGE_PATH).handler(context -> StandInServer.answer(context, reports));
+        router.get(PlatformMessages.USAGE_PATH).handler(context -> EmulatorHttpServer.answer(context, reports));
         router.get("/weights/:model").handler(this::load);
         router.post("/faults").handler(this::switchFault);
-        return StandInServer.listen(vertx, router, address);
+        return EmulatorHttpServer.listen(vertx, router, address);
     }
 
     /**
@@ -111,10 +111,10 @@
      */
     private void append(RoutingContext context) {
         if (isOn(Fault.LOG_OUTAGE)) {
-            StandInServer.answer(context, UNAVAILABLE, new StandInServer.Problem("log outage"));
+            EmulatorHttpServer.answer(context, UNAVAILABLE, new EmulatorHttpServer.MessageBody("log outage"));
             return;
         }
-        PlatformMessages.AppendRequest request = StandInServer.body(context, PlatformMessages.AppendRequest.class);
+        PlatformMessages.AppendRequest request = EmulatorHttpServer.body(context, PlatformMessages.AppendRequest.class);
         if (request == null) {
             return;
         }
@@ -145,7 +145,7 @@
      */
     private void answerRead(RoutingContext context, long after, int limit, long untilMillis) {
         if (isOn(Fault.LOG_OUTAGE) || isOn(Fault.LOG_READ_OUTAGE)) {
-            StandInServer.answer(context, UNAVAILABLE, new StandInServer.Problem("log outage"));
+            EmulatorHttpServer.answer(context, UNAVAILABLE, new EmulatorHttpServer.MessageBody("log outage"));
             return;
         }
         PlatformLog.Page page = log.read(after, limit);
@@ -153,7 +153,7 @@
             vertx.setTimer(POLL_MILLIS, timer -> answerRead(context, after, limit, untilMillis));
             return;
         }
-        StandInServer.answer(context, page);
+        EmulatorHttpServer.answer(context, page);
     }
 
     /**
@@ -163,10 +163,10 @@
      */
     private void list(RoutingContext context) {
         if (isOn(Fault.PLATFORM_OUTAGE)) {
-            StandInServer.answer(context, UNAVAILABLE, new StandInServer.Problem("platform outage"));
+            EmulatorHttpServer.answer(context, UNAVAILABLE, new EmulatorHttpServer.MessageBody("platform outage"));
             return;
         }
-        StandInServer.answer(context, new PlatformMessages.BackendServerList(laggingList));
+        EmulatorHttpServer.answer(context, new PlatformMessages.BackendServerList(laggingList));
     }
 
     /**
@@ -176,10 +176,10 @@
      */
     private void listEntryHosts(RoutingContext context) {
         if (isOn(Fault.PLATFORM_OUTAGE)) {
-            StandInServer.answer(context, UNAVAILABLE, new StandInServer.Problem("platform outage"));
+            EmulatorHttpServer.answer(context, UNAVAILABLE, new EmulatorHttpServer.MessageBody("platform outage"));
             return;
         }
-        StandInServer.answer(context, entryHosts);
+        EmulatorHttpServer.answer(context, entryHosts);
     }
 
     /**
@@ -188,10 +188,11 @@
      * @param context The exchange.
      */
     private void setEntryHosts(RoutingContext context) {
-        PlatformMessages.EntryHostList replacement = StandInServer.body(context, PlatformMessages.EntryHostList.class);
+        PlatformMessages.EntryHostList replacement =
+                EmulatorHttpServer.body(context, PlatformMessages.EntryHostList.class);
         if (replacement != null) {
             entryHosts = replacement;
-            StandInServer.answer(context, entryHosts);
+            EmulatorHttpServer.answer(context, entryHosts);
         }
     }
 
@@ -201,10 +202,10 @@
      * @param context The exchange.
      */
     private void register(RoutingContext context) {
-        Registration registration = StandInServer.body(context, Registration.class);
+        Registration registration = EmulatorHttpServer.body(context, Registration.class);
         if (registration != null) {
             fleet.register(registration.pool(), registration.server());
-            StandInServer.answer(context, registration);
+            EmulatorHttpServer.answer(context, registration);
         }
     }
 
@@ -215,10 +216,10 @@
      */
     private void order(RoutingContext context) {
         if (isOn(Fault.PLATFORM_OUTAGE)) {
-            StandInServer.answer(context, UNAVAILABLE, new StandInServer.Problem("platform outage"));
+            EmulatorHttpServer.answer(context, UNAVAILABLE, new EmulatorHttpServer.MessageBody("platform outage"));
             return;
         }
-        Order order = StandInServer.body(context, Order.class);
+        Order order = EmulatorHttpServer.body(context, Order.class);
         if (order != null) {
             afterEffect(context, fleet.order(System.currentTimeMillis(), order));
         }
@@ -233,7 +234,7 @@
         long nowMillis = System.currentTimeMillis();
         long waitMillis = weights.reserve(nowMillis, 1) - nowMillis;
         Weights answer = new Weights(context.pathParam("model"), waitMillis);
-        vertx.setTimer(Math.max(1, waitMillis), timer -> StandInServer.answer(context, answer));
+        vertx.setTimer(Math.max(1, waitMillis), timer -> EmulatorHttpServer.answer(context, answer));
     }
 
     /**
@@ -243,13 +244,13 @@
      */
     private void report(RoutingContext context) {
         if (isOn(Fault.PLATFORM_OUTAGE)) {
-            StandInServer.answer(context, UNAVAILABLE, new StandInServer.Problem("platform outage"));
+            EmulatorHttpServer.answer(context, UNAVAILABLE, new EmulatorHttpServer.MessageBody("platform outage"));
             return;
         }
-        UsageReport report = StandInServer.body(context, UsageReport.class);
+        UsageReport report = EmulatorHttpServer.body(context, UsageReport.class);
         if (report != null) {
             reports.add(report);
-            afterEffect(context, new StandInServer.Problem("acknowledged"));
+            afterEffect(context, new EmulatorHttpServer.MessageBody("acknowledged"));
         }
     }
 
@@ -259,7 +260,7 @@
      * @param context The exchange.
      */
     private void switchFault(RoutingContext context) {
-        FaultSwitch change = StandInServer.body(context, FaultSwitch.class);
+        FaultSwitch change = EmulatorHttpServer.body(context, FaultSwitch.class);
         if (change == null) {
             return;
         }
@@ -271,10 +272,10 @@
         } else if (Arrays.stream(Fault.values()).anyMatch(fault -> fault.name().equals(name))) {
             faults.put(Fault.valueOf(name), change.amount());
         } else {
-            StandInServer.answer(context, BAD_REQUEST, new StandInServer.Problem("no such fault"));
+            EmulatorHttpServer.answer(context, BAD_REQUEST, new EmulatorHttpServer.MessageBody("no such fault"));
             return;
         }
-        StandInServer.answer(context, change);
+        EmulatorHttpServer.answer(context, change);
     }
 
     /**
@@ -286,10 +287,10 @@
     private void afterEffect(RoutingContext context, Object answer) {
         if (isOn(Fault.LOST_ANSWERS)) {
             faults.merge(Fault.LOST_ANSWERS, -1.0, Double::sum);
-            StandInServer.drop(context);
+            EmulatorHttpServer.drop(context);
             return;
         }
-        StandInServer.answer(context, answer);
+        EmulatorHttpServer.answer(context, answer);
     }
 
     /**
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/StandInCounts.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/EmulatorCounts.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ExecutionException;
 import org.cranberrygauge.emulator.engine.EngineCounts;
-import org.cranberrygauge.emulator.service.ServiceStandIn;
+import org.cranberrygauge.emulator.service.EmulatedService;
 import org.cranberrygauge.model.backend.BackendKind;
 import org.cranberrygauge.model.backend.ListedBackendServer;
 import org.cranberrygauge.model.backend.NetworkAddress;
@@ -28,7 +28,7 @@
  *
  * <p>Used by one thread, which must not be an event loop.
  */
-final class StandInCounts {
+final class EmulatorCounts {
 
     /** The path of the counts of engines and plain services. */
     private static final String COUNTS_PATH = "/counts";
@@ -61,7 +61,7 @@
      * @param platform The address of the platform.
      * @param backends The addresses of the configured backend servers by kind.
      */
-    StandInCounts(Vertx vertx, NetworkAddress platform, Map<BackendKind, List<NetworkAddress>> backends) {
+    EmulatorCounts(Vertx vertx, NetworkAddress platform, Map<BackendKind, List<NetworkAddress>> backends) {
         this.client = vertx.createHttpClient();
         this.platform = platform;
         this.backends = backends;
@@ -90,7 +90,7 @@
             credentials.addAll(counts.credentials());
         }
         for (NetworkAddress service : backends.get(BackendKind.SERVICE)) {
-            ServiceStandIn.Counts counts = get(service, COUNTS_PATH, ServiceStandIn.Counts.class);
+            EmulatedService.Counts counts = get(service, COUNTS_PATH, EmulatedService.Counts.class);
             counts.executions().forEach((call, number) -> executions.merge(call, number, Integer::sum));
             credentials.addAll(counts.credentials());
         }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ReplayCommand.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ReplayCommand.java
@@ -118,7 +118,7 @@
     private ReplayReport replay(
             Vertx vertx, Configuration configuration, Map<String, String> keys, List<TraceRequest> requests)
             throws ExecutionException, InterruptedException {
-        TraceCaller caller = new TraceCaller(vertx, gateways, keys, tries);
+        TraceClient caller = new TraceClient(vertx, gateways, keys, tries);
         List<Future<Outcome>> pending =
                 requests.stream().map(request -> later(vertx, caller, request)).toList();
         List<Outcome> outcomes = Future.all(pending)
@@ -126,7 +126,7 @@
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get();
-        StandInCounts counts = new StandInCounts(vertx, platformAddress, backends(configuration));
+        EmulatorCounts counts = new EmulatorCounts(vertx, platformAddress, backends(configuration));
         long untilMillis = System.currentTimeMillis() + settleMillis;
         ReplayReport report = report(configuration, keys, outcomes, counts);
         while (!report.counted().equals(report.reported()) && System.currentTimeMillis() < untilMillis) {
@@ -148,7 +148,7 @@
      * @throws InterruptedException If this thread is interrupted.
      */
     private static ReplayReport report(
-            Configuration configuration, Map<String, String> keys, List<Outcome> outcomes, StandInCounts counts)
+            Configuration configuration, Map<String, String> keys, List<Outcome> outcomes, EmulatorCounts counts)
             throws ExecutionException, InterruptedException {
         counts.collect();
         return new ReplayReport(
@@ -169,7 +169,7 @@
      * @param request The request.
      * @return The outcome.
      */
-    private static Future<Outcome> later(Vertx vertx, TraceCaller caller, TraceRequest request) {
+    private static Future<Outcome> later(Vertx vertx, TraceClient caller, TraceRequest request) {
         Promise<Outcome> promise = Promise.promise();
         vertx.setTimer(
                 Math.max(1, request.arrivalMillis()),
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceCaller.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceClient.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.cranberrygauge.emulator.engine.TokenText;
-import org.cranberrygauge.emulator.service.ServiceStandIn;
+import org.cranberrygauge.emulator.service.EmulatedService;
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
@@ -26,7 +26,7 @@
  *
  * <p>Used on one event loop. A request refused as "not run" is sent again to the next gateway after the time it was told.
  */
-final class TraceCaller {
+final class TraceClient {
 
     /** The status of a successful answer. */
     private static final int OK = 200;
@@ -69,7 +69,7 @@
      * @param keys The keys by customer.
      * @param tries The highest number of times a request is sent.
      */
-    TraceCaller(Vertx vertx, List<NetworkAddress> gateways, Map<String, String> keys, int tries) {
+    TraceClient(Vertx vertx, List<NetworkAddress> gateways, Map<String, String> keys, int tries) {
         this.vertx = vertx;
         this.client = vertx.createHttpClient(new PoolOptions().setHttp1MaxSize(CONNECTIONS));
         this.gateways = gateways;
@@ -141,7 +141,7 @@
                 .putHeader("Authorization", "Bearer " + keys.get(request.customer()))
                 .putHeader("Content-Type", "application/json")
                 .putHeader("X-Service-Class", request.className())
-                .putHeader(ServiceStandIn.CALL_HEADER, request.callId());
+                .putHeader(EmulatedService.CALL_HEADER, request.callId());
         if (request.mutates()) {
             options.putHeader("Idempotency-Key", request.callId());
         }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/service/ServiceStandIn.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/service/EmulatedService.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import org.cranberrygauge.emulator.web.EmulatorHttpServer;
 import org.cranberrygauge.emulator.web.FaultSwitch;
-import org.cranberrygauge.emulator.web.StandInServer;
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
@@ -21,7 +21,7 @@
  *
  * <p>All exchanges run on one event loop.
  */
-public final class ServiceStandIn {
+public final class EmulatedService {
 
     /** The header that names a call, whichever way and however often it arrives. */
     public static final String CALL_HEADER = "X-Call-Id";
@@ -50,7 +50,7 @@
      * @param vertx The Vert.x instance.
      * @param callMillis The time a call takes in milliseconds.
      */
-    public ServiceStandIn(Vertx vertx, long callMillis) {
+    public EmulatedService(Vertx vertx, long callMillis) {
         this.vertx = vertx;
         this.callMillis = callMillis;
     }
@@ -62,12 +62,12 @@
      * @return The server.
      */
     public Future<HttpServer> listen(NetworkAddress address) {
-        Router router = StandInServer.router(vertx);
+        Router router = EmulatorHttpServer.router(vertx);
         router.get("/counts")
-                .handler(context -> StandInServer.answer(context, new Counts(executions, credentials, headers)));
+                .handler(context -> EmulatorHttpServer.answer(context, new Counts(executions, credentials, headers)));
         router.post("/faults").handler(this::switchFault);
         router.route().handler(this::call);
-        return StandInServer.listen(vertx, router, address);
+        return EmulatorHttpServer.listen(vertx, router, address);
     }
 
     /**
@@ -84,7 +84,7 @@
         context.request().headers().names().forEach(name -> headers.add(name.toLowerCase(Locale.ROOT)));
         if (strength(Fault.DROP_AFTER_EFFECT) > 0) {
             faults.merge(Fault.DROP_AFTER_EFFECT, -1.0, Double::sum);
-            StandInServer.drop(context);
+            EmulatorHttpServer.drop(context);
             return;
         }
         if (strength(Fault.HANG_AFTER_EFFECT) > 0) {
@@ -98,7 +98,7 @@
             context.response().putHeader("X-Attempt-Id", attempt);
         }
         long answerMillis = Math.max(1, callMillis + (long) strength(Fault.LATE_MILLIS));
-        vertx.setTimer(answerMillis, timer -> StandInServer.answer(context, answer));
+        vertx.setTimer(answerMillis, timer -> EmulatorHttpServer.answer(context, answer));
     }
 
     /**
@@ -107,10 +107,10 @@
      * @param context The exchange.
      */
     private void switchFault(RoutingContext context) {
-        FaultSwitch change = StandInServer.body(context, FaultSwitch.class);
+        FaultSwitch change = EmulatorHttpServer.body(context, FaultSwitch.class);
         if (change != null) {
             faults.put(Fault.valueOf(change.name().toUpperCase(Locale.ROOT)), change.amount());
-            StandInServer.answer(context, change);
+            EmulatorHttpServer.answer(context, change);
         }
     }
 
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/StandInServer.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/EmulatorHttpServer.java
@@ -17,7 +17,7 @@
  *
  * <p>Runs on one event loop, so that the stand-ins need no locks.
  */
-public final class StandInServer {
+public final class EmulatorHttpServer {
 
     /** The status of a successful answer. */
     private static final int OK = 200;
@@ -29,7 +29,7 @@
     private static final long BODY_LIMIT_BYTES = 16L * 1024 * 1024;
 
     /** Prevents instances. */
-    private StandInServer() {}
+    private EmulatorHttpServer() {}
 
     /**
      * Creates a router that reads bodies.
@@ -97,7 +97,7 @@
         try {
             return JsonCodec.read(String.valueOf(context.body().asString()), type);
         } catch (CranberrygaugeException exception) {
-            answer(context, BAD_REQUEST, new Problem(exception.getMessage()));
+            answer(context, BAD_REQUEST, new MessageBody(exception.getMessage()));
             return null;
         }
     }
@@ -116,5 +116,5 @@
      *
      * @param message The message.
      */
-    public record Problem(String message) {}
+    public record MessageBody(String message) {}
 }
--- a/cranberrygauge-emulator/src/test/java/org/cranberrygauge/emulator/engine/EngineStandInTest.java
+++ b/cranberrygauge-emulator/src/test/java/org/cranberrygauge/emulator/engine/EmulatedEngineTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class EngineStandInTest {
+class EmulatedEngineTest {
 
     private static final String MODEL = "amber-large";
 
@@ -34,7 +34,7 @@
     @BeforeEach
     void start() throws Exception {
         vertx = Vertx.vertx();
-        server = new EngineStandIn(
+        server = new EmulatedEngine(
                         vertx,
                         Set.of(MODEL),
                         new EngineSpeed(1, 2, 0, 1_000_000),
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/Gateway.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/Gateway.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.Stream;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
 import org.cranberrygauge.decision.dispatch.DispatchPolicy;
 import org.cranberrygauge.decision.membership.AdmissionFreshness;
 import org.cranberrygauge.decision.membership.PeerReport;
@@ -16,14 +16,14 @@
 import org.cranberrygauge.decision.retry.RetryBudget;
 import org.cranberrygauge.decision.retry.RetryBudgets;
 import org.cranberrygauge.decision.routing.BackendTable.Ejection;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.usage.UsageCounter;
 import org.cranberrygauge.decision.usage.UsageReplication;
 import org.cranberrygauge.gateway.call.ActiveCalls;
 import org.cranberrygauge.gateway.call.BackendClient;
-import org.cranberrygauge.gateway.call.CallTools;
+import org.cranberrygauge.gateway.call.CallDependencies;
 import org.cranberrygauge.gateway.call.CrashDetector;
-import org.cranberrygauge.gateway.call.CrashGuard;
+import org.cranberrygauge.gateway.call.QuarantineEnforcer;
 import org.cranberrygauge.gateway.exchange.ExchangeServer;
 import org.cranberrygauge.gateway.exchange.ExchangeService;
 import org.cranberrygauge.gateway.exchange.PeerExchange;
@@ -33,22 +33,22 @@
 import org.cranberrygauge.gateway.http.IdleConnections;
 import org.cranberrygauge.gateway.http.OperationsHandler;
 import org.cranberrygauge.gateway.metrics.GatewayMetrics;
-import org.cranberrygauge.gateway.reservation.ReservationDesk;
-import org.cranberrygauge.gateway.schedule.BackendBoard;
+import org.cranberrygauge.gateway.reservation.ReservationManager;
+import org.cranberrygauge.gateway.schedule.BackendTableUpdater;
 import org.cranberrygauge.gateway.schedule.Scheduler;
-import org.cranberrygauge.gateway.usage.UsageCopyDesk;
+import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.gateway.usage.UsageShipper;
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.record.LogRecord;
 import org.cranberrygauge.protocol.generated.GatewayReport;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
-import org.cranberrygauge.runtime.event.EventRing;
+import org.cranberrygauge.runtime.event.EventRingBuffer;
 import org.cranberrygauge.runtime.lifecycle.Program;
 import org.cranberrygauge.runtime.log.LogAppender;
 import org.cranberrygauge.runtime.log.LogFollower;
 import org.cranberrygauge.runtime.platform.HttpPlatform;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -86,7 +86,7 @@
     private final EventLog events;
 
     /** The newest events. */
-    private final EventRing ring;
+    private final EventRingBuffer ring;
 
     /** The sources of time. */
     private final TimeSource time = TimeSource.System.INSTANCE;
@@ -98,7 +98,7 @@
     private final String incarnation;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The client of the platform. */
     private final HttpPlatform platform;
@@ -110,7 +110,7 @@
     private final LogAppender appender;
 
     /** The backend servers. */
-    private final BackendBoard board;
+    private final BackendTableUpdater board;
 
     /** The scheduler. */
     private final Scheduler scheduler;
@@ -128,7 +128,7 @@
     private final UsageShipper shipper;
 
     /** Gives copies of usage to a peer and holds those of peers. */
-    private final UsageCopyDesk usageCopies;
+    private final UsageReplicator usageCopies;
 
     /** Tells whether the gateway admits. */
     private final AdmissionGate gate;
@@ -171,7 +171,7 @@
     public Gateway(GatewaySettings settings, EventLog events, Quarantine quarantine) {
         this.settings = settings;
         this.quarantine = quarantine;
-        this.ring = new EventRing(KEPT_EVENTS, time::wallMillis);
+        this.ring = new EventRingBuffer(KEPT_EVENTS, time::wallMillis);
         this.events = new EventLog.Compound(List.of(events, ring));
         vertx = Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(settings.eventLoops() + 1)
@@ -180,17 +180,17 @@
         callerConnections = new IdleConnections(time, settings.callerIdleTimeoutMillis());
         servers = new GatewayServers(vertx, settings, callerConnections, this.events);
         incarnation = Program.incarnation(settings.hostName(), time.wallMillis());
-        blackboard = new Blackboard(time.monotonicMillis());
+        blackboard = new ProcessState(time.monotonicMillis());
         platform = new HttpPlatform(vertx, settings.platformAddress(), settings.platformTimeoutMillis());
         follower = new LogFollower(vertx, platform, blackboard, time, this.events);
         appender = new LogAppender(vertx, platform, incarnation);
-        board = new BackendBoard(blackboard, settings.hostName());
+        board = new BackendTableUpdater(blackboard, settings.hostName());
         scheduler = new Scheduler(DispatchPolicy.standard(), board, time, new Random(), this::onEjection);
         usage = new UsageCounter(incarnation);
         shipper = new UsageShipper(vertx, usage, appender);
-        usageCopies = new UsageCopyDesk(
+        usageCopies = new UsageReplicator(
                 usage,
-                new UsageReplication.ToOnePeer(incarnation, usage, UsageCopyDesk.KEYS_PER_COPY),
+                new UsageReplication.ToOnePeer(incarnation, usage, UsageReplicator.KEYS_PER_COPY),
                 appender,
                 time,
                 this.events);
@@ -204,7 +204,7 @@
      * @return Completes when it listens.
      */
     public Future<Void> start() {
-        ReservationDesk desk = new ReservationDesk(
+        ReservationManager desk = new ReservationManager(
                 vertx, appender::append, follower.state().reservations(), settings.reservationTimeoutMillis());
         follower.addListener(desk::accept);
         follower.addListener(this::onEffect);
@@ -325,14 +325,14 @@
      * @param desk The desk for reservations.
      * @return Completes when it listens.
      */
-    private Future<Void> listen(ReservationDesk desk) {
-        CallTools tools = new CallTools(
+    private Future<Void> listen(ReservationManager desk) {
+        CallDependencies tools = new CallDependencies(
                 scheduler,
                 board,
                 new BackendClient(vertx, settings.backendCredential(), settings.backendTimeoutMillis()),
                 desk,
                 new RetryBudgets.PerCustomer(() -> new RetryBudget.Share(RETRY_SHARE, RETRY_BURST)),
-                new CrashGuard(
+                new QuarantineEnforcer(
                         vertx,
                         quarantine,
                         new CrashDetector(vertx, board, time),
@@ -359,8 +359,9 @@
      *
      * @param effect The effect.
      */
-    private void onEffect(Effect effect) {
-        if (effect instanceof Effect.ChangeJudged judged && judged.verdict() == ConfigurationMachine.Verdict.ACCEPTED) {
+    private void onEffect(ApplyResult effect) {
+        if (effect instanceof ApplyResult.ChangeResult judged
+                && judged.verdict() == ConfigurationState.Verdict.ACCEPTED) {
             scheduler.configure(blackboard.configuration().classes());
             active.endWithdrawn(blackboard.log().keys());
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ActiveCalls.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ActiveCalls.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import org.cranberrygauge.decision.configuration.KeyRing;
+import org.cranberrygauge.decision.configuration.KeyIndex;
 import org.cranberrygauge.model.error.ErrorCode;
 
 /**
@@ -16,7 +16,7 @@
     private final Set<ActiveCall> calls = ConcurrentHashMap.newKeySet();
 
     /** The keys that worked when they changed last, or null before. */
-    private volatile KeyRing latest;
+    private volatile KeyIndex latest;
 
     /**
      * Adds a request, and ends it if its key was withdrawn since it was checked.
@@ -25,7 +25,7 @@
      */
     public void add(ActiveCall call) {
         calls.add(call);
-        KeyRing keys = latest;
+        KeyIndex keys = latest;
         if (keys != null) {
             endIfWithdrawn(call, keys);
         }
@@ -54,7 +54,7 @@
      *
      * @param keys The keys that work.
      */
-    public void endWithdrawn(KeyRing keys) {
+    public void endWithdrawn(KeyIndex keys) {
         latest = keys;
         calls.forEach(call -> endIfWithdrawn(call, keys));
     }
@@ -70,7 +70,7 @@
      * @param call The request.
      * @param keys The keys that work.
      */
-    private static void endIfWithdrawn(ActiveCall call, KeyRing keys) {
+    private static void endIfWithdrawn(ActiveCall call, KeyIndex keys) {
         if (call.key() != null && keys.owner(call.key()).isEmpty()) {
             call.abort(RequestFailure.notRun(ErrorCode.KEY_WITHDRAWN, "the key was withdrawn"));
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallTools.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallDependencies.java
@@ -3,8 +3,8 @@
 import org.cranberrygauge.decision.retry.RetryBudgets;
 import org.cranberrygauge.decision.usage.UsageCounter;
 import org.cranberrygauge.gateway.metrics.GatewayMetrics;
-import org.cranberrygauge.gateway.reservation.ReservationDesk;
-import org.cranberrygauge.gateway.schedule.BackendBoard;
+import org.cranberrygauge.gateway.reservation.ReservationManager;
+import org.cranberrygauge.gateway.schedule.BackendTableUpdater;
 import org.cranberrygauge.gateway.schedule.Scheduler;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.time.TimeSource;
@@ -25,13 +25,13 @@
  * @param time The sources of time.
  * @param gateway The incarnation of the gateway.
  */
-public record CallTools(
+public record CallDependencies(
         Scheduler scheduler,
-        BackendBoard board,
+        BackendTableUpdater board,
         BackendClient client,
-        ReservationDesk desk,
+        ReservationManager desk,
         RetryBudgets retries,
-        CrashGuard guard,
+        QuarantineEnforcer guard,
         UsageCounter usage,
         GatewayMetrics metrics,
         EventLog events,
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallReservation.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallReservation.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.buffer.Buffer;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
 import org.cranberrygauge.model.record.LogRecord.Disposition;
@@ -26,7 +26,7 @@
     private static final long LOG_RETRY_MILLIS = 5_000;
 
     /** What every request works with. */
-    private final CallTools tools;
+    private final CallDependencies tools;
 
     /** The identifier. */
     private final String id;
@@ -40,7 +40,7 @@
      * @param tools What every request works with.
      * @param id The identifier.
      */
-    CallReservation(CallTools tools, String id) {
+    CallReservation(CallDependencies tools, String id) {
         this.tools = tools;
         this.id = id;
     }
@@ -52,7 +52,7 @@
      * @param request The call.
      * @return The verdict, or a failure after which the call must not be dispatched.
      */
-    Future<ReservationVerdict> make(Caller caller, ServiceRequest request) {
+    Future<ReservationDecision> make(Caller caller, ServiceRequest request) {
         return tools.desk()
                 .reserve(new Reservation(
                         id,
@@ -97,11 +97,11 @@
      * @param verdict The verdict.
      * @return The refusal.
      */
-    static RequestFailure refusal(ReservationVerdict verdict) {
-        if (verdict == ReservationVerdict.OtherBody.INSTANCE) {
+    static RequestFailure refusal(ReservationDecision verdict) {
+        if (verdict == ReservationDecision.OtherBody.INSTANCE) {
             return RequestFailure.notRun(ErrorCode.KEY_REUSED, "the idempotency key was used with another body");
         }
-        if (verdict == ReservationVerdict.Running.INSTANCE) {
+        if (verdict == ReservationDecision.Running.INSTANCE) {
             return RequestFailure.mayHaveRun(ErrorCode.IN_PROGRESS, "the call with this idempotency key still runs")
                     .withRetryAfter(RUNNING_RETRY_MILLIS);
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallEvents.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallTelemetry.java
@@ -12,7 +12,7 @@
  * @param caller Whose request it is.
  * @param requestId The identifier of the request.
  */
-record CallEvents(CallTools tools, Caller caller, String requestId) {
+record CallTelemetry(CallDependencies tools, Caller caller, String requestId) {
 
     /**
      * Notes the start of an attempt.
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ChatAttempt.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ChatAttempt.java
@@ -45,7 +45,7 @@
     private final Listener listener;
 
     /** Ends the attempt when the backend server falls silent. */
-    private final SilenceTimer silence;
+    private final InactivityTimer silence;
 
     /** The request, once it is open. */
     private HttpClientRequest request;
@@ -65,11 +65,11 @@
      * @param tools What every request works with.
      * @param vertx The Vert.x instance.
      */
-    ChatAttempt(String attempt, BackendServer server, Listener listener, CallTools tools, Vertx vertx) {
+    ChatAttempt(String attempt, BackendServer server, Listener listener, CallDependencies tools, Vertx vertx) {
         this.attempt = attempt;
         this.server = server;
         this.listener = listener;
-        this.silence = new SilenceTimer(
+        this.silence = new InactivityTimer(
                 vertx,
                 tools.time(),
                 tools.client().idleTimeoutMillis(),
@@ -179,7 +179,7 @@
             return;
         }
         silence.heard();
-        StreamEvent read = EventReader.read(event);
+        StreamEvent read = StreamEventParser.read(event);
         if (read instanceof StreamEvent.Frame frame) {
             finished |= frame.finishReason() != null;
             listener.onFrame(frame);
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ChatCall.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ChatCall.java
@@ -30,13 +30,13 @@
     private static final int ATTEMPTS = 4;
 
     /** What every request works with. */
-    private final CallTools tools;
+    private final CallDependencies tools;
 
     /** Whose request it is. */
     private final Caller caller;
 
     /** Writes the events. */
-    private final CallEvents events;
+    private final CallTelemetry events;
 
     /** The body. */
     private final ChatBody body;
@@ -92,10 +92,10 @@
      * @param reply The answer to the caller.
      * @param number The number of the request in this gateway.
      */
-    public ChatCall(CallTools tools, Caller caller, ChatBody body, CallerReply reply, long number) {
+    public ChatCall(CallDependencies tools, Caller caller, ChatBody body, CallerReply reply, long number) {
         this.tools = tools;
         this.caller = caller;
-        this.events = new CallEvents(tools, caller, reply.requestId());
+        this.events = new CallTelemetry(tools, caller, reply.requestId());
         this.body = body;
         this.reply = reply;
         this.number = number;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CrashDetector.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CrashDetector.java
@@ -7,7 +7,7 @@
 import io.vertx.core.net.NetClientOptions;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import org.cranberrygauge.gateway.schedule.BackendBoard;
+import org.cranberrygauge.gateway.schedule.BackendTableUpdater;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.runtime.time.TimeSource;
 
@@ -29,7 +29,7 @@
     private final NetClient client;
 
     /** The backend servers. */
-    private final BackendBoard board;
+    private final BackendTableUpdater board;
 
     /** The sources of time. */
     private final TimeSource time;
@@ -47,7 +47,7 @@
      * @param board The backend servers.
      * @param time The sources of time.
      */
-    public CrashDetector(Vertx vertx, BackendBoard board, TimeSource time) {
+    public CrashDetector(Vertx vertx, BackendTableUpdater board, TimeSource time) {
         this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(PROBE_TIMEOUT_MILLIS));
         this.board = board;
         this.time = time;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/SilenceTimer.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/InactivityTimer.java
@@ -8,7 +8,7 @@
  *
  * <p>Used on one context; hearing something costs no timer.
  */
-final class SilenceTimer {
+final class InactivityTimer {
 
     /** The Vert.x instance. */
     private final Vertx vertx;
@@ -36,7 +36,7 @@
      * @param limitMillis The time of silence after which the action runs in milliseconds.
      * @param action The action.
      */
-    SilenceTimer(Vertx vertx, TimeSource time, long limitMillis, Runnable action) {
+    InactivityTimer(Vertx vertx, TimeSource time, long limitMillis, Runnable action) {
         this.vertx = vertx;
         this.time = time;
         this.limitMillis = limitMillis;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CrashGuard.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/QuarantineEnforcer.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 import org.cranberrygauge.decision.dispatch.Eligibility;
 import org.cranberrygauge.decision.quarantine.Quarantine;
+import org.cranberrygauge.decision.quarantine.QuarantineStatus;
 import org.cranberrygauge.decision.quarantine.RequestFingerprint;
 import org.cranberrygauge.decision.quarantine.RunId;
-import org.cranberrygauge.decision.quarantine.Standing;
 import org.cranberrygauge.decision.quarantine.SuspectPlacement;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.error.ErrorCode;
@@ -22,7 +22,7 @@
  * <p>Invariants: a request whose backend server was lost is tried again only after it is known whether the server
  * crashed; peers are told of a crash before the request is tried again. Safe for use by several threads.
  */
-public final class CrashGuard {
+public final class QuarantineEnforcer {
 
     /** The time in which peers tell of their requests on the same backend server in milliseconds. */
     private static final long SETTLE_MILLIS = 200;
@@ -59,7 +59,7 @@
      * @param gateway The incarnation of this gateway.
      * @param gateways Gives the incarnations of the gateways that are in touch, this one included.
      */
-    public CrashGuard(
+    public QuarantineEnforcer(
             Vertx vertx,
             Quarantine quarantine,
             CrashDetector detector,
@@ -83,8 +83,8 @@
      * @return The failure, whose claim of "not run" holds for a request that was not sent, or nothing.
      */
     Optional<RequestFailure> refusal(RequestFingerprint fingerprint) {
-        Standing standing = quarantine.standing(time.monotonicMillis(), fingerprint);
-        if (standing instanceof Standing.Quarantined held) {
+        QuarantineStatus standing = quarantine.standing(time.monotonicMillis(), fingerprint);
+        if (standing instanceof QuarantineStatus.Quarantined held) {
             return Optional.of(RequestFailure.notRun(
                             ErrorCode.QUARANTINED,
                             "backend servers crashed while they ran this request; it is held in quarantine")
@@ -105,7 +105,7 @@
 
             @Override
             public boolean isRestricted() {
-                return quarantine.standing(time.monotonicMillis(), fingerprint) != Standing.Clear.INSTANCE;
+                return quarantine.standing(time.monotonicMillis(), fingerprint) != QuarantineStatus.Clear.INSTANCE;
             }
 
             @Override
@@ -125,7 +125,7 @@
      */
     void started(RunId run, BackendServer server) {
         long nowMillis = time.monotonicMillis();
-        if (quarantine.standing(nowMillis, run.fingerprint()) != Standing.Clear.INSTANCE) {
+        if (quarantine.standing(nowMillis, run.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
             quarantine.started(nowMillis, run, server.name());
             tellPeers.run();
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ServiceCall.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ServiceCall.java
@@ -10,7 +10,7 @@
 import org.cranberrygauge.decision.admission.Refusal;
 import org.cranberrygauge.decision.quarantine.RequestFingerprint;
 import org.cranberrygauge.decision.quarantine.RunId;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.decision.retry.RetryBudget;
 import org.cranberrygauge.decision.routing.RoutingRequest;
 import org.cranberrygauge.gateway.schedule.PendingCall;
@@ -36,13 +36,13 @@
     private static final int ATTEMPTS = 3;
 
     /** What every request works with. */
-    private final CallTools tools;
+    private final CallDependencies tools;
 
     /** Whose request it is. */
     private final Caller caller;
 
     /** Writes the events. */
-    private final CallEvents events;
+    private final CallTelemetry events;
 
     /** The call. */
     private final ServiceRequest request;
@@ -92,10 +92,10 @@
      * @param reply The answer to the caller.
      * @param number The number of the request in this gateway.
      */
-    public ServiceCall(CallTools tools, Caller caller, ServiceRequest request, CallerReply reply, long number) {
+    public ServiceCall(CallDependencies tools, Caller caller, ServiceRequest request, CallerReply reply, long number) {
         this.tools = tools;
         this.caller = caller;
-        this.events = new CallEvents(tools, caller, reply.requestId());
+        this.events = new CallTelemetry(tools, caller, reply.requestId());
         this.request = request;
         this.reply = reply;
         this.number = number;
@@ -165,10 +165,10 @@
      *
      * @param verdict The verdict.
      */
-    private void judged(ReservationVerdict verdict) {
-        if (verdict instanceof ReservationVerdict.Answered answered) {
+    private void judged(ReservationDecision verdict) {
+        if (verdict instanceof ReservationDecision.Answered answered) {
             repeatAnswer(answered.outcome());
-        } else if (verdict != ReservationVerdict.Won.INSTANCE) {
+        } else if (verdict != ReservationDecision.Won.INSTANCE) {
             end(CallReservation.refusal(verdict));
         } else {
             reservation.won();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/EventReader.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/StreamEventParser.java
@@ -10,7 +10,7 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-final class EventReader {
+final class StreamEventParser {
 
     /** The start of the data of an event. */
     private static final String DATA = "data:";
@@ -19,7 +19,7 @@
     private static final String DONE = "[DONE]";
 
     /** Prevents instances. */
-    private EventReader() {}
+    private StreamEventParser() {}
 
     /**
      * Reads an event.
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeService.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeService.java
@@ -5,16 +5,16 @@
 import java.util.function.Supplier;
 import org.apache.thrift.TException;
 import org.cranberrygauge.decision.membership.PeerReport;
-import org.cranberrygauge.decision.quarantine.Observation;
 import org.cranberrygauge.decision.quarantine.Quarantine;
-import org.cranberrygauge.gateway.usage.UsageCopyDesk;
+import org.cranberrygauge.decision.quarantine.QuarantineObservation;
+import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.protocol.generated.GatewayExchange;
 import org.cranberrygauge.protocol.generated.GatewayReport;
 import org.cranberrygauge.protocol.generated.LogSlice;
 import org.cranberrygauge.protocol.generated.LogSliceEntry;
 import org.cranberrygauge.protocol.platform.PlatformLog.StoredEntry;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.log.LogFollower;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -25,7 +25,7 @@
 public final class ExchangeService implements GatewayExchange.Iface {
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The follower of the log. */
     private final LogFollower follower;
@@ -34,7 +34,7 @@
     private final Supplier<GatewayReport> ownReport;
 
     /** Takes copies of usage from peers. */
-    private final UsageCopyDesk usageCopies;
+    private final UsageReplicator usageCopies;
 
     /** The sources of time. */
     private final TimeSource time;
@@ -57,10 +57,10 @@
      * @param onSuspects Acts on what peers told of suspected requests.
      */
     public ExchangeService(
-            Blackboard blackboard,
+            ProcessState blackboard,
             LogFollower follower,
             Supplier<GatewayReport> ownReport,
-            UsageCopyDesk usageCopies,
+            UsageReplicator usageCopies,
             TimeSource time,
             Quarantine quarantine,
             Runnable onSuspects) {
@@ -102,7 +102,7 @@
      * @param report The report.
      */
     public void take(GatewayReport report) {
-        List<Observation> observations = ObservationCodec.read(report.getQuarantined());
+        List<QuarantineObservation> observations = ObservationCodec.read(report.getQuarantined());
         quarantine.heard(time.monotonicMillis(), report.getGateway(), observations);
         if (!observations.isEmpty()) {
             onSuspects.run();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ObservationCodec.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ObservationCodec.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.cranberrygauge.decision.quarantine.Observation;
+import org.cranberrygauge.decision.quarantine.QuarantineObservation;
 import org.cranberrygauge.decision.quarantine.RequestFingerprint;
 
 /**
@@ -32,7 +32,7 @@
      * @param observations The observations.
      * @return The texts.
      */
-    static List<String> write(List<Observation> observations) {
+    static List<String> write(List<QuarantineObservation> observations) {
         return observations.stream().map(ObservationCodec::write).toList();
     }
 
@@ -42,11 +42,11 @@
      * @param texts The texts, or null for none.
      * @return The observations that can be read.
      */
-    static List<Observation> read(List<String> texts) {
-        List<Observation> observations = new ArrayList<>();
+    static List<QuarantineObservation> read(List<String> texts) {
+        List<QuarantineObservation> observations = new ArrayList<>();
         for (String text : texts == null ? List.<String>of() : texts) {
             try {
-                Observation observation = read(text.split(" ", -1));
+                QuarantineObservation observation = read(text.split(" ", -1));
                 if (observation != null) {
                     observations.add(observation);
                 }
@@ -63,9 +63,9 @@
      * @param observation The observation.
      * @return The text.
      */
-    private static String write(Observation observation) {
+    private static String write(QuarantineObservation observation) {
         String fingerprint = observation.fingerprint().hexadecimal();
-        if (observation instanceof Observation.Crashed crashed) {
+        if (observation instanceof QuarantineObservation.Crashed crashed) {
             return String.join(
                     " ",
                     CRASHED,
@@ -74,10 +74,10 @@
                     String.valueOf(crashed.ageMillis()),
                     crashed.server());
         }
-        if (observation instanceof Observation.Cleared cleared) {
+        if (observation instanceof QuarantineObservation.Cleared cleared) {
             return String.join(" ", CLEARED, fingerprint, String.valueOf(cleared.ageMillis()));
         }
-        return String.join(" ", RUNNING, fingerprint, ((Observation.Running) observation).server());
+        return String.join(" ", RUNNING, fingerprint, ((QuarantineObservation.Running) observation).server());
     }
 
     /**
@@ -86,16 +86,16 @@
      * @param parts The parts of its text.
      * @return The observation, or null if it is of no known kind.
      */
-    private static Observation read(String... parts) {
+    private static QuarantineObservation read(String... parts) {
         if (parts.length == 5 && parts[0].equals(CRASHED)) {
-            return new Observation.Crashed(
+            return new QuarantineObservation.Crashed(
                     new RequestFingerprint(parts[1]), parts[4], Long.parseLong(parts[2]), Long.parseLong(parts[3]));
         }
         if (parts.length == 3 && parts[0].equals(CLEARED)) {
-            return new Observation.Cleared(new RequestFingerprint(parts[1]), Long.parseLong(parts[2]));
+            return new QuarantineObservation.Cleared(new RequestFingerprint(parts[1]), Long.parseLong(parts[2]));
         }
         if (parts.length == 3 && parts[0].equals(RUNNING)) {
-            return new Observation.Running(new RequestFingerprint(parts[1]), parts[2]);
+            return new QuarantineObservation.Running(new RequestFingerprint(parts[1]), parts[2]);
         }
         return null;
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerClient.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerClient.java
@@ -7,16 +7,16 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 import org.apache.thrift.transport.TSocket;
 import org.apache.thrift.transport.layered.TFramedTransport;
-import org.cranberrygauge.gateway.usage.UsageCopyDesk;
+import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.model.record.LogRecord.UsageDelta;
 import org.cranberrygauge.protocol.generated.GatewayExchange;
 import org.cranberrygauge.protocol.generated.GatewayReport;
 import org.cranberrygauge.protocol.generated.LogSlice;
 import org.cranberrygauge.protocol.platform.PlatformLog.StoredEntry;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
-import org.cranberrygauge.runtime.blackboard.LogPosition;
 import org.cranberrygauge.runtime.log.LogFollower;
+import org.cranberrygauge.runtime.state.LogPosition;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -42,10 +42,10 @@
     private final Supplier<GatewayReport> ownReport;
 
     /** Gives copies of usage to a peer. */
-    private final UsageCopyDesk usageCopies;
+    private final UsageReplicator usageCopies;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The follower of the log. */
     private final LogFollower follower;
@@ -74,8 +74,8 @@
             NetworkAddress address,
             ExchangeService service,
             Supplier<GatewayReport> ownReport,
-            UsageCopyDesk usageCopies,
-            Blackboard blackboard,
+            UsageReplicator usageCopies,
+            ProcessState blackboard,
             LogFollower follower,
             TimeSource time) {
         this.address = address;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerExchange.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerExchange.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.cranberrygauge.gateway.usage.UsageCopyDesk;
+import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.protocol.generated.GatewayReport;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.log.LogFollower;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -50,8 +50,8 @@
             long intervalMillis,
             ExchangeService service,
             Supplier<GatewayReport> ownReport,
-            UsageCopyDesk usageCopies,
-            Blackboard blackboard,
+            UsageReplicator usageCopies,
+            ProcessState blackboard,
             LogFollower follower,
             TimeSource time) {
         this.intervalMillis = intervalMillis;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/AdmissionGate.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/AdmissionGate.java
@@ -1,10 +1,10 @@
 package org.cranberrygauge.gateway.http;
 
 import org.cranberrygauge.decision.membership.AdmissionFreshness;
-import org.cranberrygauge.decision.membership.Members;
+import org.cranberrygauge.decision.membership.Membership;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -15,7 +15,7 @@
 public final class AdmissionGate {
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The rule of freshness. */
     private final AdmissionFreshness freshness;
@@ -42,7 +42,7 @@
      * @param gateway The incarnation of this gateway.
      */
     public AdmissionGate(
-            Blackboard blackboard, AdmissionFreshness freshness, TimeSource time, String host, String gateway) {
+            ProcessState blackboard, AdmissionFreshness freshness, TimeSource time, String host, String gateway) {
         this.blackboard = blackboard;
         this.freshness = freshness;
         this.time = time;
@@ -89,7 +89,7 @@
      * @return The view.
      */
     private AdmissionFreshness.View view() {
-        Members members = blackboard.log().members();
+        Membership members = blackboard.log().members();
         long others = members.all().stream()
                 .filter(member -> !member.host().equals(host))
                 .count();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/Authenticator.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/Authenticator.java
@@ -3,7 +3,7 @@
 import io.vertx.core.http.HttpServerRequest;
 import java.util.Comparator;
 import java.util.Optional;
-import org.cranberrygauge.decision.configuration.KeyRing;
+import org.cranberrygauge.decision.configuration.KeyIndex;
 import org.cranberrygauge.gateway.call.Caller;
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.customer.Customer;
@@ -11,8 +11,8 @@
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
 import org.cranberrygauge.model.service.ServiceClass;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
-import org.cranberrygauge.runtime.blackboard.LogSections;
+import org.cranberrygauge.runtime.state.LogDerivedState;
+import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Finds out whose request it is.
@@ -29,14 +29,14 @@
     private static final String BEARER = "Bearer ";
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /**
      * Creates an authenticator.
      *
      * @param blackboard The blackboard.
      */
-    Authenticator(Blackboard blackboard) {
+    Authenticator(ProcessState blackboard) {
         this.blackboard = blackboard;
     }
 
@@ -69,7 +69,7 @@
                 .log()
                 .keys()
                 .owner(KeyDigest.of(key))
-                .map(KeyRing.Owner::customer)
+                .map(KeyIndex.Owner::customer)
                 .orElseThrow(
                         () -> new CranberrygaugeException(ErrorCode.INVALID_KEY, "the key is unknown or withdrawn"));
     }
@@ -83,7 +83,7 @@
      */
     Caller caller(HttpServerRequest request) throws CranberrygaugeException {
         Customer customer = customer(request);
-        LogSections sections = blackboard.log();
+        LogDerivedState sections = blackboard.log();
         Configuration configuration = sections.configuration().current().configuration();
         String wanted = request.getHeader(CLASS_HEADER);
         ServiceClass chosen = configuration.classes().stream()
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/CallerHandler.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/CallerHandler.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.cranberrygauge.gateway.GatewayEvents;
 import org.cranberrygauge.gateway.GatewaySettings;
-import org.cranberrygauge.gateway.call.CallTools;
+import org.cranberrygauge.gateway.call.CallDependencies;
 import org.cranberrygauge.gateway.call.Caller;
 import org.cranberrygauge.gateway.call.CallerReply;
 import org.cranberrygauge.gateway.call.ChatBody;
@@ -36,7 +36,7 @@
 import org.cranberrygauge.model.service.Repetition;
 import org.cranberrygauge.model.service.ServiceClass;
 import org.cranberrygauge.model.service.ServiceRoute;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Takes the requests of callers.
@@ -71,10 +71,10 @@
     private final GatewaySettings settings;
 
     /** What every request works with. */
-    private final CallTools tools;
+    private final CallDependencies tools;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** Tells whether the gateway admits. */
     private final AdmissionGate gate;
@@ -101,8 +101,8 @@
     public CallerHandler(
             Vertx vertx,
             GatewaySettings settings,
-            CallTools tools,
-            Blackboard blackboard,
+            CallDependencies tools,
+            ProcessState blackboard,
             AdmissionGate gate,
             IdleConnections connections) {
         this.connections = connections;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/OperationsHandler.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/OperationsHandler.java
@@ -4,12 +4,12 @@
 import io.vertx.core.Handler;
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.json.JsonObject;
-import org.cranberrygauge.gateway.usage.UsageCopyDesk;
+import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.protocol.JsonCodec;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
-import org.cranberrygauge.runtime.event.EventRing;
+import org.cranberrygauge.runtime.event.EventRingBuffer;
 import org.cranberrygauge.runtime.metrics.MetricsEndpoint;
+import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Answers the requests of operations: health, metrics and state.
@@ -34,13 +34,13 @@
     private final AdmissionGate gate;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The newest events. */
-    private final EventRing ring;
+    private final EventRingBuffer ring;
 
     /** Holds copies of the usage of peers. */
-    private final UsageCopyDesk usageCopies;
+    private final UsageReplicator usageCopies;
 
     /** The incarnation of the gateway. */
     private final String gateway;
@@ -58,9 +58,9 @@
     public OperationsHandler(
             PrometheusRegistry registry,
             AdmissionGate gate,
-            Blackboard blackboard,
-            EventRing ring,
-            UsageCopyDesk usageCopies,
+            ProcessState blackboard,
+            EventRingBuffer ring,
+            UsageReplicator usageCopies,
             String gateway) {
         this.metrics = new MetricsEndpoint(registry);
         this.gate = gate;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/reservation/ReservationDesk.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/reservation/ReservationManager.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.decision.reservation.Reservations;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
 import org.cranberrygauge.model.record.LogRecord;
@@ -24,7 +24,7 @@
  * call that was given up is recorded as not run, so that its key becomes free; a call that ended in this gateway is never
  * said to run, also before its outcome is read back. Safe for use by several threads.
  */
-public final class ReservationDesk {
+public final class ReservationManager {
 
     /** The outcomes that are remembered until they are read back. */
     private static final int REMEMBERED_OUTCOMES = 1_024;
@@ -54,7 +54,7 @@
     };
 
     /** Those that wait, by identifier of the reservation. */
-    private final Map<String, Promise<ReservationVerdict>> waiting = new ConcurrentHashMap<>();
+    private final Map<String, Promise<ReservationDecision>> waiting = new ConcurrentHashMap<>();
 
     /**
      * Creates a desk.
@@ -64,7 +64,7 @@
      * @param reservations The table of reserved calls.
      * @param timeoutMillis The time after which a reservation is given up in milliseconds.
      */
-    public ReservationDesk(Vertx vertx, RecordAppender appender, Reservations reservations, long timeoutMillis) {
+    public ReservationManager(Vertx vertx, RecordAppender appender, Reservations reservations, long timeoutMillis) {
         this.vertx = vertx;
         this.appender = appender;
         this.reservations = reservations;
@@ -76,9 +76,9 @@
      *
      * @param effect The effect.
      */
-    public void accept(Effect effect) {
-        if (effect instanceof Effect.ReservationJudged judged) {
-            Promise<ReservationVerdict> promise = waiting.remove(judged.reservationId());
+    public void accept(ApplyResult effect) {
+        if (effect instanceof ApplyResult.ReservationResult judged) {
+            Promise<ReservationDecision> promise = waiting.remove(judged.reservationId());
             if (promise != null) {
                 promise.complete(judged.verdict());
             }
@@ -91,13 +91,13 @@
      * @param reservation The reservation.
      * @return The verdict, or a failure after which the call must not be dispatched.
      */
-    public Future<ReservationVerdict> reserve(Reservation reservation) {
-        Optional<ReservationVerdict> known = reservations.lookup(
+    public Future<ReservationDecision> reserve(Reservation reservation) {
+        Optional<ReservationDecision> known = reservations.lookup(
                 reservation.customer(), reservation.route(), reservation.key(), reservation.bodyDigest());
         if (known.isPresent()) {
             return Future.succeededFuture(withOwnOutcome(reservation, known.get()));
         }
-        Promise<ReservationVerdict> promise = Promise.promise();
+        Promise<ReservationDecision> promise = Promise.promise();
         waiting.put(reservation.reservationId(), promise);
         vertx.setTimer(timeoutMillis, timer -> giveUp(reservation));
         appender.append(reservation).onFailure(failure -> {
@@ -129,8 +129,8 @@
      * @param verdict The verdict.
      * @return The verdict to give.
      */
-    private ReservationVerdict withOwnOutcome(Reservation reservation, ReservationVerdict verdict) {
-        if (verdict != ReservationVerdict.Running.INSTANCE) {
+    private ReservationDecision withOwnOutcome(Reservation reservation, ReservationDecision verdict) {
+        if (verdict != ReservationDecision.Running.INSTANCE) {
             return verdict;
         }
         ReservationOutcome outcome;
@@ -144,8 +144,8 @@
             return verdict;
         }
         return outcome.disposition() == Disposition.ANSWERED
-                ? new ReservationVerdict.Answered(outcome)
-                : ReservationVerdict.Unknown.INSTANCE;
+                ? new ReservationDecision.Answered(outcome)
+                : ReservationDecision.Unknown.INSTANCE;
     }
 
     /**
@@ -154,7 +154,7 @@
      * @param reservation The reservation.
      */
     private void giveUp(Reservation reservation) {
-        Promise<ReservationVerdict> promise = waiting.remove(reservation.reservationId());
+        Promise<ReservationDecision> promise = waiting.remove(reservation.reservationId());
         if (promise == null) {
             return;
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/BackendBoard.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/BackendTableUpdater.java
@@ -8,14 +8,14 @@
 import java.util.Queue;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import org.cranberrygauge.decision.drain.DrainRegister;
+import org.cranberrygauge.decision.drain.DrainState;
 import org.cranberrygauge.decision.membership.PeerReport;
 import org.cranberrygauge.decision.routing.BackendTable;
 import org.cranberrygauge.decision.share.SlotDivision.GatewayDemand;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Brings what the blackboard says of backend servers and peers into the table by which requests are dispatched.
@@ -23,13 +23,13 @@
  * <p>Invariants: a drained, leaving or failing backend server is not available. Failures and measurements are noted from
  * any thread; they are applied by the thread that uses the table.
  */
-public final class BackendBoard {
+public final class BackendTableUpdater {
 
     /** The age after which a peer's counts are dropped in milliseconds. */
     private static final long PEER_EXPIRY_MILLIS = 2_000;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The host of this gateway. */
     private final String host;
@@ -49,7 +49,7 @@
      * @param blackboard The blackboard.
      * @param host The host of this gateway.
      */
-    public BackendBoard(Blackboard blackboard, String host) {
+    public BackendTableUpdater(ProcessState blackboard, String host) {
         this.blackboard = blackboard;
         this.host = host;
     }
@@ -107,7 +107,7 @@
      * @param ownWaiting The number of requests that wait at this gateway.
      */
     public void refresh(long nowMillis, BackendTable table, int ownWaiting) {
-        DrainRegister drains = blackboard.log().drains();
+        DrainState drains = blackboard.log().drains();
         Map<String, BackendServer> known = new LinkedHashMap<>();
         Map<String, Boolean> available = new HashMap<>();
         for (BackendServer server : blackboard.configuration().backendServers()) {
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/Scheduler.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/Scheduler.java
@@ -31,13 +31,13 @@
     private static final long COMPARE_MILLIS = 500;
 
     /** Serialises access to the dispatcher. */
-    private final SerialRunner serial = new SerialRunner();
+    private final SerialExecutor serial = new SerialExecutor();
 
     /** The dispatcher, used within the serial runner. */
     private final Dispatcher dispatcher;
 
     /** The backend servers as the blackboard knows them. */
-    private final BackendBoard board;
+    private final BackendTableUpdater board;
 
     /** The sources of time. */
     private final TimeSource time;
@@ -71,7 +71,7 @@
      */
     public Scheduler(
             DispatchPolicy policy,
-            BackendBoard board,
+            BackendTableUpdater board,
             TimeSource time,
             RandomGenerator random,
             Consumer<Ejection> onEjection) {
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/SerialRunner.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/SerialExecutor.java
@@ -10,7 +10,7 @@
  * <p>Invariants: at most one action runs at a time; actions run in the order in which they were added; no thread waits
  * for another. Safe for use by several threads without locks.
  */
-final class SerialRunner {
+final class SerialExecutor {
 
     /** The actions that wait. */
     private final Queue<Runnable> actions = new ConcurrentLinkedQueue<>();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageCopyDesk.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageReplicator.java
@@ -25,7 +25,7 @@
  *
  * <p>Invariants: at most one append of each gateway's copy is under way. Safe for use by several threads.
  */
-public final class UsageCopyDesk {
+public final class UsageReplicator {
 
     /** The highest number of keys in a copy. */
     public static final int KEYS_PER_COPY = 64;
@@ -66,7 +66,7 @@
      * @param time The sources of time.
      * @param events The event log.
      */
-    public UsageCopyDesk(
+    public UsageReplicator(
             UsageCounter counter,
             UsageReplication replication,
             LogAppender appender,
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/call/ActiveCallsTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/call/ActiveCallsTest.java
@@ -4,7 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.cranberrygauge.decision.configuration.KeyRing;
+import org.cranberrygauge.decision.configuration.KeyIndex;
 import org.cranberrygauge.model.customer.KeyDigest;
 import org.cranberrygauge.model.error.ErrorCode;
 import org.junit.jupiter.api.Test;
@@ -19,14 +19,14 @@
     void endsACallWhoseKeyIsWithdrawn() {
         calls.add(new RecordingCall(KeyDigest.of("key")));
 
-        calls.endWithdrawn(KeyRing.empty());
+        calls.endWithdrawn(KeyIndex.empty());
 
         assertThat(aborted).containsExactly(ErrorCode.KEY_WITHDRAWN);
     }
 
     @Test
     void endsACallThatIsAddedAfterItsKeyWasWithdrawn() {
-        calls.endWithdrawn(KeyRing.empty());
+        calls.endWithdrawn(KeyIndex.empty());
 
         calls.add(new RecordingCall(KeyDigest.of("key")));
 
@@ -37,7 +37,7 @@
     void leavesCallsOnRoutesOpenToAll() {
         calls.add(new RecordingCall(null));
 
-        calls.endWithdrawn(KeyRing.empty());
+        calls.endWithdrawn(KeyIndex.empty());
 
         assertThat(aborted).isEmpty();
     }
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/exchange/ObservationCodecTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/exchange/ObservationCodecTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import org.cranberrygauge.decision.quarantine.Observation;
+import org.cranberrygauge.decision.quarantine.QuarantineObservation;
 import org.cranberrygauge.decision.quarantine.RequestFingerprint;
 import org.junit.jupiter.api.Test;
 
@@ -13,10 +13,10 @@
 
     @Test
     void readsBackWhatItWrote() {
-        List<Observation> observations = List.of(
-                new Observation.Crashed(FINGERPRINT, "engine-1", 20, 300),
-                new Observation.Cleared(FINGERPRINT, 40),
-                new Observation.Running(FINGERPRINT, "engine-2"));
+        List<QuarantineObservation> observations = List.of(
+                new QuarantineObservation.Crashed(FINGERPRINT, "engine-1", 20, 300),
+                new QuarantineObservation.Cleared(FINGERPRINT, 40),
+                new QuarantineObservation.Running(FINGERPRINT, "engine-2"));
 
         assertThat(ObservationCodec.read(ObservationCodec.write(observations))).isEqualTo(observations);
     }
