--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/reservation/ReservationDeskTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/reservation/ReservationManagerTest.java
@@ -5,7 +5,7 @@
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.concurrent.TimeUnit;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
 import org.cranberrygauge.decision.reservation.Reservations;
 import org.cranberrygauge.model.record.LogRecord.Disposition;
 import org.cranberrygauge.model.record.LogRecord.Reservation;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class ReservationDeskTest {
+class ReservationManagerTest {
 
     private static final Reservation FIRST = reservation("r-1");
 
@@ -21,8 +21,8 @@
 
     private final Reservations reservations = new Reservations();
 
-    private final ReservationDesk desk =
-            new ReservationDesk(vertx, record -> Future.succeededFuture(1L), reservations, 60_000);
+    private final ReservationManager desk =
+            new ReservationManager(vertx, record -> Future.succeededFuture(1L), reservations, 60_000);
 
     @AfterEach
     void stop() throws Exception {
@@ -32,11 +32,11 @@
     @Test
     void aCallThatEndedHereIsNeverSaidToRunBeforeItsOutcomeIsReadBack() throws Exception {
         reservations.reserve(1, 0, FIRST);
-        assertThat(again()).isEqualTo(ReservationVerdict.Running.INSTANCE);
+        assertThat(again()).isEqualTo(ReservationDecision.Running.INSTANCE);
 
         desk.record(new ReservationOutcome("r-1", Disposition.UNKNOWN, 0, "", "", false));
 
-        assertThat(again()).isEqualTo(ReservationVerdict.Unknown.INSTANCE);
+        assertThat(again()).isEqualTo(ReservationDecision.Unknown.INSTANCE);
     }
 
     @Test
@@ -46,7 +46,7 @@
 
         desk.record(outcome);
 
-        assertThat(again()).isEqualTo(new ReservationVerdict.Answered(outcome));
+        assertThat(again()).isEqualTo(new ReservationDecision.Answered(outcome));
     }
 
     @Test
@@ -55,10 +55,10 @@
         desk.record(new ReservationOutcome("r-1", Disposition.UNKNOWN, 0, "", "", false));
         Reservation other = new Reservation("r-3", "customer", "/route/", "key", "other", "gateway", 0);
         assertThat(desk.reserve(other).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS))
-                .isEqualTo(ReservationVerdict.OtherBody.INSTANCE);
+                .isEqualTo(ReservationDecision.OtherBody.INSTANCE);
     }
 
-    private ReservationVerdict again() throws Exception {
+    private ReservationDecision again() throws Exception {
         return desk.reserve(reservation("r-2"))
                 .toCompletionStage()
                 .toCompletableFuture()
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/usage/UsageShipperTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/usage/UsageAppenderTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class UsageShipperTest {
+class UsageAppenderTest {
 
     private static final UsageKey CHAT = new UsageKey("odense-heritage", "field-crew-chat");
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/CheckCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/CheckCommand.java
@@ -7,16 +7,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.cranberrygauge.decision.configuration.ConfigurationChecks;
 import org.cranberrygauge.decision.configuration.ConfigurationProblem;
+import org.cranberrygauge.decision.configuration.ConfigurationValidator;
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
-import org.cranberrygauge.operator.questionnaire.AnswerLines;
-import org.cranberrygauge.operator.questionnaire.AnswerReader;
+import org.cranberrygauge.operator.questionnaire.AnswerLineIndex;
 import org.cranberrygauge.operator.questionnaire.ConfigurationGenerator;
 import org.cranberrygauge.operator.questionnaire.KeySource;
 import org.cranberrygauge.operator.questionnaire.Questionnaire;
+import org.cranberrygauge.operator.questionnaire.YamlFileReader;
 
 /**
  * Checks a questionnaire and tells each problem with file, line and field.
@@ -33,11 +33,11 @@
     @Override
     public ExitStatus run(PrintStream output) throws CranberrygaugeException {
         String text = text(questionnaire);
-        Questionnaire answers = AnswerReader.read(questionnaire.toString(), text, Questionnaire.class);
+        Questionnaire answers = YamlFileReader.read(questionnaire.toString(), text, Questionnaire.class);
         Configuration configuration =
                 new ConfigurationGenerator(new KeySource.Secure()).build(answers, Configuration.empty());
-        List<ConfigurationProblem> problems = ConfigurationChecks.problems(configuration);
-        AnswerLines lines = lines(text);
+        List<ConfigurationProblem> problems = ConfigurationValidator.problems(configuration);
+        AnswerLineIndex lines = lines(text);
         for (ConfigurationProblem problem : problems) {
             output.println(questionnaire + ":" + lines.lineOf(problem.path()) + ": " + problem);
         }
@@ -67,9 +67,9 @@
      * @param text The text, which was read before.
      * @return The lines.
      */
-    private static AnswerLines lines(String text) {
+    private static AnswerLineIndex lines(String text) {
         try {
-            return AnswerLines.of(text);
+            return AnswerLineIndex.of(text);
         } catch (IOException exception) {
             throw new IllegalStateException("the answers were read before", exception);
         }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ExplainCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ExplainCommand.java
@@ -15,7 +15,7 @@
 import org.cranberrygauge.operator.log.LogSession;
 import org.cranberrygauge.operator.view.OperationsClient;
 import org.cranberrygauge.protocol.JsonCodec;
-import org.cranberrygauge.runtime.event.EventRing;
+import org.cranberrygauge.runtime.event.EventRingBuffer;
 
 /**
  * Shows what was decided about a request, a backend server or an order, from the log and from the gateways.
@@ -64,7 +64,7 @@
             OperationsClient operations = platform.operations();
             Map<NetworkAddress, String> answers = operations.decisions(subject);
             for (Map.Entry<NetworkAddress, String> answer : answers.entrySet()) {
-                for (EventRing.Entry entry : JsonCodec.read(answer.getValue(), EventRing.Entry[].class)) {
+                for (EventRingBuffer.Entry entry : JsonCodec.read(answer.getValue(), EventRingBuffer.Entry[].class)) {
                     steps.add(new Step(
                             entry.atMillis(), "gateway " + answer.getKey(), entry.event() + " " + entry.fields()));
                 }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/GenerateCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/GenerateCommand.java
@@ -12,10 +12,10 @@
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
-import org.cranberrygauge.operator.questionnaire.AnswerReader;
 import org.cranberrygauge.operator.questionnaire.ConfigurationGenerator;
 import org.cranberrygauge.operator.questionnaire.KeySource;
 import org.cranberrygauge.operator.questionnaire.Questionnaire;
+import org.cranberrygauge.operator.questionnaire.YamlFileReader;
 import org.cranberrygauge.protocol.JsonCodec;
 
 /**
@@ -44,7 +44,7 @@
 
     @Override
     public ExitStatus run(PrintStream printer) throws CranberrygaugeException {
-        Questionnaire answers = AnswerReader.read(questionnaire, Questionnaire.class);
+        Questionnaire answers = YamlFileReader.read(questionnaire, Questionnaire.class);
         ConfigurationGenerator generator = new ConfigurationGenerator(new KeySource.Secure());
         try {
             Configuration kept = before == null
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/PlanCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/PlanCommand.java
@@ -8,8 +8,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.cranberrygauge.decision.configuration.ConfigurationChecks;
 import org.cranberrygauge.decision.configuration.ConfigurationProblem;
+import org.cranberrygauge.decision.configuration.ConfigurationValidator;
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.configuration.VersionedConfiguration;
 import org.cranberrygauge.model.error.CranberrygaugeException;
@@ -56,7 +56,7 @@
             Plan plan = new Plan(
                     inForce.version(),
                     ConfigurationDifferences.between(inForce.configuration(), after),
-                    ConfigurationChecks.problems(after));
+                    ConfigurationValidator.problems(after));
             if (json) {
                 output.println(JsonCodec.write(plan));
             } else {
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/QuestionnaireCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/QuestionnaireCommand.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
-import org.cranberrygauge.operator.questionnaire.Interview;
+import org.cranberrygauge.operator.questionnaire.QuestionnairePrompter;
 
 /**
  * Writes a questionnaire: a commented template, or the answers given step by step on a terminal.
@@ -85,7 +85,7 @@
         return YAMLMapper.builder()
                 .disable(SerializationFeature.WRITE_DATES_AS_TIMESTAMPS)
                 .build()
-                .writeValueAsString(new Interview(input, output).ask());
+                .writeValueAsString(new QuestionnairePrompter(input, output).ask());
     }
 
     /**
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/ChangeApplier.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/ChangeApplier.java
@@ -4,18 +4,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.cranberrygauge.decision.configuration.ConfigurationChecks;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine.Verdict;
 import org.cranberrygauge.decision.configuration.ConfigurationProblem;
+import org.cranberrygauge.decision.configuration.ConfigurationState.Verdict;
+import org.cranberrygauge.decision.configuration.ConfigurationValidator;
 import org.cranberrygauge.decision.membership.GatewayMember;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
 import org.cranberrygauge.model.record.LogRecord;
 import org.cranberrygauge.operator.command.ExitStatus;
-import org.cranberrygauge.runtime.platform.GatewayStatus;
+import org.cranberrygauge.runtime.platform.GatewayStatusClient;
 
 /**
  * Brings a change of the configuration into force.
@@ -68,14 +68,14 @@
     public ExitStatus apply(
             String changeId, String operator, long baseVersion, Configuration configuration, PrintStream output)
             throws CranberrygaugeException {
-        List<ConfigurationProblem> problems = ConfigurationChecks.problems(configuration);
+        List<ConfigurationProblem> problems = ConfigurationValidator.problems(configuration);
         if (!problems.isEmpty()) {
             problems.forEach(output::println);
             throw new CranberrygaugeException(ErrorCode.INVALID_CONFIGURATION, "the configuration is invalid");
         }
         session.append(new LogRecord.ConfigurationChange(changeId, operator, baseVersion, configuration));
         session.readToEnd();
-        Effect.ChangeJudged judged = session.judgementOf(changeId)
+        ApplyResult.ChangeResult judged = session.judgementOf(changeId)
                 .orElseThrow(() -> new CranberrygaugeException(
                         ErrorCode.LOG_UNAVAILABLE, "the change was appended and can't be read back"));
         if (judged.verdict() != Verdict.ACCEPTED) {
@@ -123,7 +123,7 @@
             return List.of("gateways not known, since " + exception.getMessage());
         }
         for (GatewayMember member : state.members().all()) {
-            boolean confirmed = GatewayStatus.ask(member)
+            boolean confirmed = GatewayStatusClient.ask(member)
                     .filter(report -> report.getConfigurationVersion() >= version)
                     .isPresent();
             if (!confirmed) {
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/LogHistory.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/LogHistory.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.usage.UsageLedger;
 import org.cranberrygauge.model.record.LogEntry;
 import org.cranberrygauge.model.record.LogRecord;
@@ -40,11 +40,11 @@
      * @param effects What became of its records.
      * @param usage The usage after the entry.
      */
-    void take(long offset, long atMillis, LogEntry entry, List<Effect> effects, UsageLedger usage) {
-        for (Effect effect : effects) {
-            if (effect instanceof Effect.ChangeJudged judged) {
+    void take(long offset, long atMillis, LogEntry entry, List<ApplyResult> effects, UsageLedger usage) {
+        for (ApplyResult effect : effects) {
+            if (effect instanceof ApplyResult.ChangeResult judged) {
                 changes.add(new Change(offset, atMillis, judged.operator(), judged.changeId(), judged.verdict()));
-            } else if (effect instanceof Effect.IntentJudged judged) {
+            } else if (effect instanceof ApplyResult.IntentResult judged) {
                 orders.add(intent(offset, atMillis, judged));
             }
         }
@@ -133,7 +133,7 @@
      * @param judged The intent and whether it is valid.
      * @return The step.
      */
-    private static OrderStep intent(long offset, long atMillis, Effect.IntentJudged judged) {
+    private static OrderStep intent(long offset, long atMillis, ApplyResult.IntentResult judged) {
         LogRecord.OrderIntent intent = judged.intent();
         String result = intent.pool() + " shall have " + intent.desiredCount() + ", reason " + intent.reason()
                 + (judged.valid() ? "" : ", void: the lease had passed on");
@@ -151,7 +151,7 @@
      * @param verdict What became of it.
      */
     public record Change(
-            long offset, long atMillis, String operator, String changeId, ConfigurationMachine.Verdict verdict) {}
+            long offset, long atMillis, String operator, String changeId, ConfigurationState.Verdict verdict) {}
 
     /**
      * A step of an order.
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/LogSession.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/LogSession.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.locks.LockSupport;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine.Verdict;
+import org.cranberrygauge.decision.configuration.ConfigurationState.Verdict;
 import org.cranberrygauge.decision.snapshot.Snapshot;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
@@ -59,7 +59,7 @@
     private final LogHistory history = new LogHistory();
 
     /** What became of changes that were read. */
-    private final List<Effect.ChangeJudged> changes = new ArrayList<>();
+    private final List<ApplyResult.ChangeResult> changes = new ArrayList<>();
 
     /** The sequence number of the last entry written. */
     private long sequence;
@@ -148,7 +148,7 @@
      * @param changeId The identifier of the change.
      * @return The verdict with its offset, or nothing if the change was not read.
      */
-    public Optional<Effect.ChangeJudged> judgementOf(String changeId) {
+    public Optional<ApplyResult.ChangeResult> judgementOf(String changeId) {
         return changes.stream()
                 .filter(change -> change.changeId().equals(changeId) && change.verdict() != Verdict.COPY)
                 .findFirst();
@@ -159,7 +159,7 @@
      *
      * @return The changes in the order of the log.
      */
-    public List<Effect.ChangeJudged> changes() {
+    public List<ApplyResult.ChangeResult> changes() {
         return List.copyOf(changes);
     }
 
@@ -180,10 +180,10 @@
     private void apply(PlatformLog.StoredEntry entry) {
         try {
             LogEntry read = LogCodec.read(entry.payload());
-            List<Effect> effects = state.apply(entry.offset(), entry.appendedAtMillis(), read);
+            List<ApplyResult> effects = state.apply(entry.offset(), entry.appendedAtMillis(), read);
             history.take(entry.offset(), entry.appendedAtMillis(), read, effects, state.usage());
-            for (Effect effect : effects) {
-                if (effect instanceof Effect.ChangeJudged judged) {
+            for (ApplyResult effect : effects) {
+                if (effect instanceof ApplyResult.ChangeResult judged) {
                     changes.add(judged);
                 }
             }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/AnswerLines.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/AnswerLineIndex.java
@@ -13,7 +13,7 @@
  *
  * <p>Immutable and safe for use by several threads.
  */
-public final class AnswerLines {
+public final class AnswerLineIndex {
 
     /** The names of answers by the names that the configuration gives to them. */
     private static final Map<String, String> ANSWER_NAMES = Map.of(
@@ -32,7 +32,7 @@
      *
      * @param lines The lines by the path of the field.
      */
-    private AnswerLines(Map<String, Integer> lines) {
+    private AnswerLineIndex(Map<String, Integer> lines) {
         this.lines = Map.copyOf(lines);
     }
 
@@ -43,7 +43,7 @@
      * @return The lines.
      * @throws IOException If the text is no YAML.
      */
-    public static AnswerLines of(String text) throws IOException {
+    public static AnswerLineIndex of(String text) throws IOException {
         Map<String, Integer> lines = new HashMap<>();
         try (JsonParser parser = new YAMLFactory().createParser(text)) {
             JsonToken token = parser.nextToken();
@@ -53,7 +53,7 @@
                 token = parser.nextToken();
             }
         }
-        return new AnswerLines(lines);
+        return new AnswerLineIndex(lines);
     }
 
     /**
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/ConfigurationGenerator.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/ConfigurationGenerator.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.cranberrygauge.decision.configuration.ConfigurationChecks;
 import org.cranberrygauge.decision.configuration.ConfigurationProblem;
+import org.cranberrygauge.decision.configuration.ConfigurationValidator;
 import org.cranberrygauge.model.backend.BackendKind;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.DataCentre;
@@ -60,7 +60,7 @@
      */
     public Configuration generate(Questionnaire answers, Configuration before) throws CranberrygaugeException {
         Configuration configuration = build(answers, before);
-        List<ConfigurationProblem> problems = ConfigurationChecks.problems(configuration);
+        List<ConfigurationProblem> problems = ConfigurationValidator.problems(configuration);
         if (!problems.isEmpty()) {
             throw new CranberrygaugeException(
                     ErrorCode.INVALID_CONFIGURATION,
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/Interview.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/QuestionnairePrompter.java
@@ -19,7 +19,7 @@
  * <p>Invariants: an answer that can't be read is asked for again with what is allowed; an interview that ends early gives
  * no answers at all. Used by one thread.
  */
-public final class Interview {
+public final class QuestionnairePrompter {
 
     /** The separator of lists. */
     private static final String COMMA = ",";
@@ -36,7 +36,7 @@
      * @param input Where answers come from.
      * @param output Where questions go.
      */
-    public Interview(BufferedReader input, PrintStream output) {
+    public QuestionnairePrompter(BufferedReader input, PrintStream output) {
         this.input = input;
         this.output = output;
     }
@@ -65,18 +65,19 @@
      * @throws CranberrygaugeException If the input ends early.
      */
     public Questionnaire ask() throws CranberrygaugeException {
-        String deployment = ask("Name of the deployment", Interview::name);
-        String region = ask("Name of the region", Interview::name);
-        List<String> dataCentres = ask("Data centres, separated by commas", Interview::names);
-        List<String> models = ask("Models that callers may name, separated by commas", Interview::names);
+        String deployment = ask("Name of the deployment", QuestionnairePrompter::name);
+        String region = ask("Name of the region", QuestionnairePrompter::name);
+        List<String> dataCentres = ask("Data centres, separated by commas", QuestionnairePrompter::names);
+        List<String> models = ask("Models that callers may name, separated by commas", QuestionnairePrompter::names);
         List<Questionnaire.ClassAnswer> classes = new ArrayList<>();
-        for (String name : ask("Service classes, highest tier first, separated by commas", Interview::names)) {
+        for (String name :
+                ask("Service classes, highest tier first, separated by commas", QuestionnairePrompter::names)) {
             classes.add(serviceClass(name, classes.size()));
         }
         Set<String> classNames = new TreeSet<>();
         classes.forEach(answer -> classNames.add(answer.name()));
         List<Questionnaire.CustomerAnswer> customers = new ArrayList<>();
-        for (String name : ask("Customers, separated by commas", Interview::names)) {
+        for (String name : ask("Customers, separated by commas", QuestionnairePrompter::names)) {
             int weight = ask("Weight of " + name + " compared with others, from 1", text -> whole(text, 1));
             customers.add(new Questionnaire.CustomerAnswer(name, weight, classNames));
         }
@@ -112,7 +113,7 @@
         return new Questionnaire.ClassAnswer(
                 name,
                 tier,
-                ask("Share of starts that " + name + " always gets, above 0 up to 1", Interview::share),
+                ask("Share of starts that " + name + " always gets, above 0 up to 1", QuestionnairePrompter::share),
                 ask("Target of " + name + " for the first token in milliseconds", text -> whole(text, 1)),
                 ask("Target of " + name + " between tokens in milliseconds", text -> whole(text, 1)),
                 ask("Longest wait of " + name + " in milliseconds", text -> whole(text, 1)),
@@ -131,11 +132,11 @@
         return new Questionnaire.EngineAnswer(
                 "engine-" + dataCentre,
                 dataCentre,
-                ask("IP number of the engines in " + dataCentre, Interview::name),
-                ask("Ports of the engines in " + dataCentre + ", separated by commas", Interview::ports),
+                ask("IP number of the engines in " + dataCentre, QuestionnairePrompter::name),
+                ask("Ports of the engines in " + dataCentre + ", separated by commas", QuestionnairePrompter::ports),
                 new TreeSet<>(models),
                 ask("Requests that an engine in " + dataCentre + " runs at once", text -> whole(text, 1)),
-                ask("Do they refuse orders with an old fencing number (yes or no)", Interview::yes));
+                ask("Do they refuse orders with an old fencing number (yes or no)", QuestionnairePrompter::yes));
     }
 
     /**
@@ -148,8 +149,8 @@
     private Questionnaire.CleaningAnswer cleaning(String dataCentre) throws CranberrygaugeException {
         return new Questionnaire.CleaningAnswer(
                 dataCentre,
-                ask("Day of the weekly cleaning of " + dataCentre + " (MONDAY to SUNDAY)", Interview::day),
-                ask("Time of day it starts in UTC (HH:MM)", Interview::time),
+                ask("Day of the weekly cleaning of " + dataCentre + " (MONDAY to SUNDAY)", QuestionnairePrompter::day),
+                ask("Time of day it starts in UTC (HH:MM)", QuestionnairePrompter::time),
                 ask("Its length in minutes", text -> whole(text, 1)));
     }
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/AnswerReader.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/YamlFileReader.java
@@ -23,7 +23,7 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-public final class AnswerReader {
+public final class YamlFileReader {
 
     /** The mapper, which is safe for use by several threads once built. */
     private static final ObjectMapper MAPPER = YAMLMapper.builder()
@@ -31,7 +31,7 @@
             .build();
 
     /** Prevents instances. */
-    private AnswerReader() {}
+    private YamlFileReader() {}
 
     /**
      * Reads a file.
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/StatusView.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/StatusView.java
@@ -17,7 +17,7 @@
 import org.cranberrygauge.model.configuration.FleetPool;
 import org.cranberrygauge.model.service.ServiceClass;
 import org.cranberrygauge.protocol.platform.Platform;
-import org.cranberrygauge.runtime.platform.GatewayStatus;
+import org.cranberrygauge.runtime.platform.GatewayStatusClient;
 
 /**
  * How the system does.
@@ -217,7 +217,7 @@
      * @return The line.
      */
     private static GatewayLine line(GatewayMember member) {
-        return GatewayStatus.ask(member)
+        return GatewayStatusClient.ask(member)
                 .map(report -> new GatewayLine(
                         member.host(),
                         member.dataCentre(),
--- a/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/questionnaire/AnswerReaderTest.java
+++ b/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/questionnaire/YamlFileReaderTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class AnswerReaderTest {
+class YamlFileReaderTest {
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
@@ -16,13 +16,13 @@
                     deployments: a | file:1: deployments: unknown field; allowed are classes, cleaning, customers
                     """)
     void an_error_names_file_line_field_and_what_is_allowed(String text, String expected) {
-        assertThatThrownBy(() -> AnswerReader.read("file", text.replace("\\n", "\n"), Questionnaire.class))
+        assertThatThrownBy(() -> YamlFileReader.read("file", text.replace("\\n", "\n"), Questionnaire.class))
                 .hasMessageContaining(expected);
     }
 
     @Test
     void an_empty_file_is_an_error() {
-        assertThatThrownBy(() -> AnswerReader.read("file", "", Questionnaire.class))
+        assertThatThrownBy(() -> YamlFileReader.read("file", "", Questionnaire.class))
                 .hasMessageContaining("file");
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -8,30 +8,30 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicReference;
-import org.cranberrygauge.proxy.admission.RequestGate;
+import org.cranberrygauge.proxy.admission.RequestAdmission;
 import org.cranberrygauge.proxy.configuration.ConfigurationView;
 import org.cranberrygauge.proxy.control.BackendFollower;
 import org.cranberrygauge.proxy.control.ConfigurationFollower;
-import org.cranberrygauge.proxy.control.ControlTools;
-import org.cranberrygauge.proxy.control.DutyKeeper;
-import org.cranberrygauge.proxy.control.FleetDesk;
+import org.cranberrygauge.proxy.control.ControllerContext;
+import org.cranberrygauge.proxy.control.FleetController;
 import org.cranberrygauge.proxy.control.HostNetwork;
-import org.cranberrygauge.proxy.control.PeerLink;
-import org.cranberrygauge.proxy.control.UsageDesk;
+import org.cranberrygauge.proxy.control.LeaderElection;
+import org.cranberrygauge.proxy.control.PeerReportExchange;
+import org.cranberrygauge.proxy.control.UsageReportController;
 import org.cranberrygauge.proxy.control.UsageShipper;
-import org.cranberrygauge.proxy.duty.SteadyTimeSource;
-import org.cranberrygauge.proxy.duty.UsageCounter;
 import org.cranberrygauge.proxy.exchange.BackendClient;
 import org.cranberrygauge.proxy.exchange.CallerHandler;
+import org.cranberrygauge.proxy.exchange.ExchangeContext;
 import org.cranberrygauge.proxy.exchange.ExchangeMetrics;
-import org.cranberrygauge.proxy.exchange.ExchangeTools;
-import org.cranberrygauge.proxy.exchange.FrontServer;
 import org.cranberrygauge.proxy.exchange.HostMetrics;
-import org.cranberrygauge.proxy.exchange.PoolBudgets;
-import org.cranberrygauge.proxy.exchange.PoolLines;
-import org.cranberrygauge.proxy.exchange.ProxyBoard;
+import org.cranberrygauge.proxy.exchange.IngressServer;
+import org.cranberrygauge.proxy.exchange.PoolRetryBudgets;
+import org.cranberrygauge.proxy.exchange.PoolWaitQueues;
+import org.cranberrygauge.proxy.exchange.ProxyState;
 import org.cranberrygauge.proxy.exchange.StatusServer;
-import org.cranberrygauge.proxy.retry.CrashRegister;
+import org.cranberrygauge.proxy.leader.JumpTolerantTimeSource;
+import org.cranberrygauge.proxy.leader.UsageCounter;
+import org.cranberrygauge.proxy.retry.CrashTracker;
 import org.cranberrygauge.proxy.routing.BackendChooser;
 import org.cranberrygauge.proxy.routing.LoadTable;
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
@@ -60,7 +60,7 @@
     private final ProxySettings settings;
 
     /** What the process is connected to. */
-    private final ProxySources sources;
+    private final ProxyDependencies sources;
 
     /** The Vert.x instance. */
     private final Vertx vertx;
@@ -75,7 +75,7 @@
     private final EventLog events;
 
     /** What the host believes. */
-    private final ProxyBoard board = new ProxyBoard();
+    private final ProxyState board = new ProxyState();
 
     /** The registry of the metrics. */
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -90,7 +90,7 @@
     private final Context traffic;
 
     /** Keeps the host in the group that deals the duties. */
-    private DutyKeeper duty;
+    private LeaderElection duty;
 
     /** Writes usage counts. */
     private UsageShipper shipper;
@@ -104,13 +104,13 @@
      * @param time The clocks.
      * @param events The event log.
      */
-    public Proxy(ProxySettings settings, ProxySources sources, Vertx vertx, TimeSource time, EventLog events) {
+    public Proxy(ProxySettings settings, ProxyDependencies sources, Vertx vertx, TimeSource time, EventLog events) {
         this.settings = settings;
         this.sources = sources;
         this.vertx = vertx;
         this.time = time;
         this.events = events;
-        this.usageTime = new SteadyTimeSource(time);
+        this.usageTime = new JumpTolerantTimeSource(time);
         this.control = vertx.getOrCreateContext();
         this.traffic = vertx.getOrCreateContext();
     }
@@ -122,7 +122,7 @@
      */
     public Future<Void> start() {
         AtomicReference<Map<String, Work>> ownWork = new AtomicReference<>(Map.of());
-        CrashRegister crashes = new CrashRegister();
+        CrashTracker crashes = new CrashTracker();
         UsageCounter usage = new UsageCounter(settings.times().usageWindowMillis());
         Promise<Void> started = Promise.promise();
         control.runOnContext(run -> startControl(ownWork, crashes, usage)
@@ -175,9 +175,9 @@
      * @return The end of the start.
      */
     private Future<Void> startControl(
-            AtomicReference<Map<String, Work>> ownWork, CrashRegister crashes, UsageCounter usage) {
+            AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
-        ControlTools tools = new ControlTools(vertx, time, sources.log(), board, events);
+        ControllerContext tools = new ControllerContext(vertx, time, sources.log(), board, events);
         String incarnation = Program.incarnation(settings.host(), time.wallMillis());
         HostNetwork network = HostNetwork.of(tools, settings, sources.hostTopic());
         new ConfigurationFollower(
@@ -190,14 +190,15 @@
                 .start();
         new BackendFollower(tools, network.relay(), sources.backendTopic(), sources.backends(), times.leavingMillis())
                 .start();
-        duty = new DutyKeeper(tools, network.relay(), incarnation, times.leaseMillis());
+        duty = new LeaderElection(tools, network.relay(), incarnation, times.leaseMillis());
         duty.start();
-        ControlTools usageTools = new ControlTools(vertx, usageTime, sources.log(), board, events);
+        ControllerContext usageTools = new ControllerContext(vertx, usageTime, sources.log(), board, events);
         shipper = new UsageShipper(usageTools, network, usage, incarnation);
         shipper.start();
-        new UsageDesk(usageTools, duty, sources.duties(), times.usageWindowMillis()).start();
-        new FleetDesk(tools, duty, sources.duties(), ownWork).start();
-        return new PeerLink(tools, settings, network, time.wallMillis(), crashes, placements, ownWork).start();
+        new UsageReportController(usageTools, duty, sources.duties(), times.usageWindowMillis()).start();
+        new FleetController(tools, duty, sources.duties(), ownWork).start();
+        return new PeerReportExchange(tools, settings, network, time.wallMillis(), crashes, placements, ownWork)
+                .start();
     }
 
     /**
@@ -209,13 +210,13 @@
      * @return The end of the start.
      */
     private Future<Void> startTraffic(
-            AtomicReference<Map<String, Work>> ownWork, CrashRegister crashes, UsageCounter usage) {
+            AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
         LoadTable loads = new LoadTable();
-        PoolLines lines = new PoolLines();
+        PoolWaitQueues lines = new PoolWaitQueues();
         ExchangeMetrics metrics = new ExchangeMetrics(registry);
         HostMetrics hostMetrics = new HostMetrics(registry);
-        ExchangeTools tools = new ExchangeTools(
+        ExchangeContext tools = new ExchangeContext(
                 vertx,
                 time,
                 board,
@@ -225,13 +226,13 @@
                 loads,
                 placements,
                 lines,
-                new PoolBudgets(times.retryWindowMillis(), times.retryRatio(), times.retryExtra()),
+                new PoolRetryBudgets(times.retryWindowMillis(), times.retryRatio(), times.retryExtra()),
                 crashes,
                 usage,
                 usageTime,
                 metrics,
                 events);
-        RequestGate gate = new RequestGate(keyBoundMillis(), times.configurationMillis());
+        RequestAdmission gate = new RequestAdmission(keyBoundMillis(), times.configurationMillis());
         vertx.setPeriodic(ADVANCE_MILLIS, fired -> lines.advance(time.monotonicMillis()));
         vertx.setPeriodic(PUBLISH_MILLIS, fired -> {
             placements.applyTo(loads);
@@ -239,7 +240,7 @@
             loads.forgetUnlisted(board.backends());
             publish(hostMetrics, lines.size());
         });
-        return new FrontServer(vertx, new CallerHandler(tools, gate))
+        return new IngressServer(vertx, new CallerHandler(tools, gate))
                 .listen(settings.front())
                 .compose(listening ->
                         new StatusServer(vertx, settings.readyPath(), this::ready, registry).listen(settings.status()));
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxySources.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyDependencies.java
@@ -2,8 +2,8 @@
 
 import org.cranberrygauge.proxy.backend.Backend;
 import org.cranberrygauge.proxy.configuration.ProxyConfiguration;
-import org.cranberrygauge.proxy.duty.DutyReceiver;
-import org.cranberrygauge.proxy.exchange.HeaderDialect;
+import org.cranberrygauge.proxy.exchange.HeaderCodec;
+import org.cranberrygauge.proxy.leader.ControlPlaneClient;
 import org.cranberrygauge.proxy.store.RecordReader;
 import org.cranberrygauge.proxy.store.SharedLog;
 
@@ -20,7 +20,7 @@
  * @param duties Takes what one host does for all.
  * @param dialect Translates headers.
  */
-public record ProxySources(
+public record ProxyDependencies(
         SharedLog log,
         String configurationTopic,
         String configurationKey,
@@ -28,5 +28,5 @@
         String hostTopic,
         String backendTopic,
         RecordReader<Backend> backends,
-        DutyReceiver duties,
-        HeaderDialect dialect) {}
+        ControlPlaneClient duties,
+        HeaderCodec dialect) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/RequestGate.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/RequestAdmission.java
@@ -16,7 +16,7 @@
  * @param withdrawalBoundMillis The age of the configuration up to which keys are honoured, in milliseconds.
  * @param unknownBoundMillis The age of the configuration up to which routes and keys are called unknown, in milliseconds.
  */
-public record RequestGate(long withdrawalBoundMillis, long unknownBoundMillis) {
+public record RequestAdmission(long withdrawalBoundMillis, long unknownBoundMillis) {
 
     /** The lowest urgency that can be told to a backend server. */
     private static final int LOWEST_URGENCY = 9;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/WaitingLine.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/WaitQueue.java
@@ -13,7 +13,7 @@
  *
  * @param <T> The type of the requests.
  */
-public final class WaitingLine<T> {
+public final class WaitQueue<T> {
 
     /** The requests in order of arrival. */
     private final List<Entry<T>> entries = new ArrayList<>();
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/BackendRegister.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/BackendRegistry.java
@@ -13,7 +13,7 @@
  * after it is kept for the time in which living backend servers register again. An entry that says that the server leaves
  * holds at once. Used by one thread.
  */
-public final class BackendRegister {
+public final class BackendRegistry {
 
     /** The time without a successful read that counts as an outage, in milliseconds. */
     private static final long OUTAGE_MILLIS = 1_500;
@@ -104,7 +104,7 @@
      * @param nowMillis The present monotonic time in milliseconds.
      * @return The catalogue.
      */
-    public BackendCatalogue catalogue(long nowMillis) {
+    public BackendSnapshot catalogue(long nowMillis) {
         Iterator<Map.Entry<String, Long>> entries = lapsed.entrySet().iterator();
         while (entries.hasNext()) {
             Map.Entry<String, Long> entry = entries.next();
@@ -113,6 +113,6 @@
                 entries.remove();
             }
         }
-        return new BackendCatalogue(backends.values(), known);
+        return new BackendSnapshot(backends.values(), known);
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/BackendCatalogue.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/BackendSnapshot.java
@@ -11,10 +11,10 @@
  *
  * <p>Immutable and safe for use by several threads.
  */
-public final class BackendCatalogue {
+public final class BackendSnapshot {
 
     /** A catalogue that has not been read yet. */
-    public static final BackendCatalogue UNKNOWN = new BackendCatalogue(List.of(), false);
+    public static final BackendSnapshot UNKNOWN = new BackendSnapshot(List.of(), false);
 
     /** All backend servers by incarnation. */
     private final Map<String, Backend> all = new HashMap<>();
@@ -31,7 +31,7 @@
      * @param backends The backend servers.
      * @param known Whether the entries have been read at least once.
      */
-    public BackendCatalogue(Collection<Backend> backends, boolean known) {
+    public BackendSnapshot(Collection<Backend> backends, boolean known) {
         this.known = known;
         for (Backend backend : backends) {
             all.put(backend.incarnation(), backend);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.cranberrygauge.proxy.backend.Backend;
-import org.cranberrygauge.proxy.backend.BackendCatalogue;
-import org.cranberrygauge.proxy.backend.BackendRegister;
+import org.cranberrygauge.proxy.backend.BackendRegistry;
+import org.cranberrygauge.proxy.backend.BackendSnapshot;
 import org.cranberrygauge.proxy.control.TopicFollower.Pace;
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.cranberrygauge.proxy.store.KeyedRecord;
@@ -33,7 +33,7 @@
     private static final double RELAYED_AGE_PART = 0.6;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** The topic. */
     private final String topic;
@@ -48,7 +48,7 @@
     private final long boundMillis;
 
     /** The entries. */
-    private final BackendRegister register = new BackendRegister();
+    private final BackendRegistry register = new BackendRegistry();
 
     /** The keys whose unreadable entries were logged. */
     private final Set<String> unreadable = new HashSet<>();
@@ -66,7 +66,7 @@
      * @param boundMillis The time within which a leaving backend server must get no more requests, in milliseconds.
      */
     public BackendFollower(
-            ControlTools tools, TopicRelay relay, String topic, RecordReader<Backend> reader, long boundMillis) {
+            ControllerContext tools, TopicRelay relay, String topic, RecordReader<Backend> reader, long boundMillis) {
         this.relay = relay;
         this.tools = tools;
         this.topic = topic;
@@ -129,7 +129,7 @@
      * @param now The present monotonic time in milliseconds.
      */
     private void publish(long now) {
-        BackendCatalogue catalogue = register.catalogue(now);
+        BackendSnapshot catalogue = register.catalogue(now);
         tools.board().publish(catalogue);
         Map<String, Backend> present = new HashMap<>();
         for (Backend backend : catalogue.all()) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ConfigurationFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ConfigurationFollower.java
@@ -23,7 +23,7 @@
     private static final double RELAYED_AGE_PART = 0.7;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** The topic. */
     private final String topic;
@@ -51,7 +51,7 @@
      * @param boundMillis The time within which a configuration must be in force, in milliseconds.
      */
     public ConfigurationFollower(
-            ControlTools tools,
+            ControllerContext tools,
             TopicRelay relay,
             String topic,
             String key,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControlTools.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControllerContext.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.proxy.control;
 
 import io.vertx.core.Vertx;
-import org.cranberrygauge.proxy.exchange.ProxyBoard;
+import org.cranberrygauge.proxy.exchange.ProxyState;
 import org.cranberrygauge.proxy.store.SharedLog;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.time.TimeSource;
@@ -15,4 +15,4 @@
  * @param board What the host believes.
  * @param events The event log.
  */
-public record ControlTools(Vertx vertx, TimeSource time, SharedLog log, ProxyBoard board, EventLog events) {}
+public record ControllerContext(Vertx vertx, TimeSource time, SharedLog log, ProxyState board, EventLog events) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/DependencyWatch.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/DependencyMonitor.java
@@ -7,7 +7,7 @@
  *
  * <p>Used by one thread.
  */
-final class DependencyWatch {
+final class DependencyMonitor {
 
     /** The name of the dependency. */
     private final String name;
@@ -27,7 +27,7 @@
      * @param name The name of the dependency.
      * @param events The event log.
      */
-    DependencyWatch(String name, EventLog events) {
+    DependencyMonitor(String name, EventLog events) {
         this.name = name;
         this.events = events;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetDesk.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
@@ -9,10 +9,10 @@
 import org.cranberrygauge.proxy.configuration.FleetLimits;
 import org.cranberrygauge.proxy.configuration.Pool;
 import org.cranberrygauge.proxy.configuration.ProxyConfiguration;
-import org.cranberrygauge.proxy.duty.BackendOrder;
-import org.cranberrygauge.proxy.duty.DutyReceiver;
-import org.cranberrygauge.proxy.duty.DutyReceiver.DutyAnswer;
-import org.cranberrygauge.proxy.duty.FleetPlan;
+import org.cranberrygauge.proxy.leader.BackendOrder;
+import org.cranberrygauge.proxy.leader.ControlPlaneClient;
+import org.cranberrygauge.proxy.leader.ControlPlaneClient.ControlPlaneOutcome;
+import org.cranberrygauge.proxy.leader.FleetPlan;
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 
 /**
@@ -20,7 +20,7 @@
  *
  * <p>Used by one thread.
  */
-public final class FleetDesk {
+public final class FleetController {
 
     /** The pause between looks in milliseconds. */
     private static final long TICK_MILLIS = 500;
@@ -38,13 +38,13 @@
     private static final double RISE_PART = 0.3;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** Tells whether this host holds the duties. */
-    private final DutyKeeper duty;
+    private final LeaderElection duty;
 
     /** Takes the orders. */
-    private final DutyReceiver receiver;
+    private final ControlPlaneClient receiver;
 
     /** The work of this host. */
     private final AtomicReference<Map<String, Work>> ownWork;
@@ -66,8 +66,11 @@
      * @param receiver Takes the orders.
      * @param ownWork The work of this host.
      */
-    public FleetDesk(
-            ControlTools tools, DutyKeeper duty, DutyReceiver receiver, AtomicReference<Map<String, Work>> ownWork) {
+    public FleetController(
+            ControllerContext tools,
+            LeaderElection duty,
+            ControlPlaneClient receiver,
+            AtomicReference<Map<String, Work>> ownWork) {
         this.tools = tools;
         this.duty = duty;
         this.receiver = receiver;
@@ -131,7 +134,7 @@
      * @param token The fencing token.
      * @param answer The answer.
      */
-    private void take(FleetPlan plan, BackendOrder order, long token, DutyAnswer answer) {
+    private void take(FleetPlan plan, BackendOrder order, long token, ControlPlaneOutcome answer) {
         tools.events()
                 .emit(new ControlEvents.BackendsOrdered(
                         order.pool(), order.dataCentre(), order.supply().name(), order.number(), token, answer.name()));
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostChannel.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostChannel.java
@@ -18,13 +18,13 @@
  *
  * <p>What can't be understood is logged and dropped. Used by one thread.
  */
-public final class HostChannel implements MessageCarrier {
+public final class HostChannel implements MessageTransport {
 
     /** The size of the receive buffer in bytes, which also bounds a datagram: a larger one would be cut off. */
     private static final int RECEIVE_BYTES = 128 * 1024;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** The address at which this host takes datagrams. */
     private final NetworkAddress address;
@@ -42,7 +42,7 @@
      * @param tools The tools.
      * @param address The address at which this host takes datagrams.
      */
-    public HostChannel(ControlTools tools, NetworkAddress address) {
+    public HostChannel(ControllerContext tools, NetworkAddress address) {
         this.tools = tools;
         this.address = address;
         this.socket =
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostNetwork.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostNetwork.java
@@ -20,7 +20,7 @@
      * @param topic The topic in which hosts write where they take messages.
      * @return What connects it.
      */
-    public static HostNetwork of(ControlTools tools, ProxySettings settings, String topic) {
+    public static HostNetwork of(ControllerContext tools, ProxySettings settings, String topic) {
         PeerDirectory peers = new PeerDirectory(settings.host(), settings.dataCentre());
         HostChannel channel = new HostChannel(tools, settings.peers());
         return new HostNetwork(peers, channel, new TopicRelay(tools, peers, channel), topic);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/DutyKeeper.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.proxy.control;
 
 import java.util.OptionalLong;
-import org.cranberrygauge.proxy.duty.DutyLease;
+import org.cranberrygauge.proxy.leader.LeaderLease;
 
 /**
  * Keeps this host in the group that deals the duties, and tells whether it holds them.
@@ -10,7 +10,7 @@
  *
  * <p>Used by one thread.
  */
-public final class DutyKeeper {
+public final class LeaderElection {
 
     /** The group, and the topic whose first part stands for the duties. */
     private static final String GROUP = "cranberrygauge-duty";
@@ -28,7 +28,7 @@
     private static final long STANDBY_MILLIS = 30_000;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** Tells which host reads the log; only such hosts stand by for the duties. */
     private final TopicRelay relay;
@@ -40,10 +40,10 @@
     private final long lifetimeMillis;
 
     /** Decides whether the host may act. */
-    private final DutyLease lease;
+    private final LeaderLease lease;
 
     /** Notes when the group can't be joined. */
-    private final DependencyWatch watch;
+    private final DependencyMonitor watch;
 
     /** The token that was last logged, or -1 if the duties were not held. */
     private long loggedToken = -1;
@@ -62,13 +62,13 @@
      * @param member The name of this start of the host.
      * @param leaseMillis The time after which an earlier holder has surely stopped, in milliseconds.
      */
-    public DutyKeeper(ControlTools tools, TopicRelay relay, String member, long leaseMillis) {
+    public LeaderElection(ControllerContext tools, TopicRelay relay, String member, long leaseMillis) {
         this.tools = tools;
         this.relay = relay;
         this.member = member;
         this.lifetimeMillis = leaseMillis;
-        this.lease = new DutyLease(tools.time().monotonicMillis(), leaseMillis, leaseMillis - MARGIN_MILLIS);
-        this.watch = new DependencyWatch("duty group", tools.events());
+        this.lease = new LeaderLease(tools.time().monotonicMillis(), leaseMillis, leaseMillis - MARGIN_MILLIS);
+        this.watch = new DependencyMonitor("duty group", tools.events());
     }
 
     /** Starts to join again and again. */
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/MessageCarrier.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/MessageTransport.java
@@ -10,7 +10,7 @@
  *
  * <p>A message may be lost, doubled or late. Used by one thread.
  */
-interface MessageCarrier {
+interface MessageTransport {
 
     /**
      * Sets what takes the messages of a kind, which hears the message and the address of its sender.
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerLink.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
@@ -15,7 +15,7 @@
 import org.cranberrygauge.protocol.generated.HostReport;
 import org.cranberrygauge.protocol.generated.PartPlaced;
 import org.cranberrygauge.proxy.ProxySettings;
-import org.cranberrygauge.proxy.retry.CrashRegister;
+import org.cranberrygauge.proxy.retry.CrashTracker;
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 import org.cranberrygauge.proxy.routing.PlacedPart;
 import org.cranberrygauge.proxy.routing.PlacementExchange;
@@ -28,7 +28,7 @@
  * report tells all there is, so that a lost one does no harm. Used by one thread, but for the work of this host, which the
  * request path publishes.
  */
-public final class PeerLink {
+public final class PeerReportExchange {
 
     /** The pause between reports in milliseconds. */
     private static final long PAUSE_MILLIS = 200;
@@ -37,7 +37,7 @@
     private static final long RETRY_MILLIS = 700;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** The settings of this host. */
     private final ProxySettings settings;
@@ -46,7 +46,7 @@
     private final long startedAtMillis;
 
     /** The requests that crash backend servers. */
-    private final CrashRegister crashes;
+    private final CrashTracker crashes;
 
     /** Tells other hosts which engine reads which prompt part. */
     private final PlacementExchange placements;
@@ -58,7 +58,7 @@
     private final HostNetwork network;
 
     /** Notes when hosts can't be found. */
-    private final DependencyWatch watch;
+    private final DependencyMonitor watch;
 
     /** The number of the last report. */
     private long sequence;
@@ -74,12 +74,12 @@
      * @param placements Tells other hosts which engine reads which prompt part.
      * @param ownWork The work of this host, as the request path publishes it.
      */
-    public PeerLink(
-            ControlTools tools,
+    public PeerReportExchange(
+            ControllerContext tools,
             ProxySettings settings,
             HostNetwork network,
             long startedAtMillis,
-            CrashRegister crashes,
+            CrashTracker crashes,
             PlacementExchange placements,
             AtomicReference<Map<String, Work>> ownWork) {
         this.tools = tools;
@@ -89,7 +89,7 @@
         this.crashes = crashes;
         this.placements = placements;
         this.ownWork = ownWork;
-        this.watch = new DependencyWatch("host addresses", tools.events());
+        this.watch = new DependencyMonitor("host addresses", tools.events());
     }
 
     /**
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicFollower.java
@@ -27,7 +27,7 @@
     private static final long RELAYED_SPREAD_MILLIS = 100;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** The topic. */
     private final String topic;
@@ -42,7 +42,7 @@
     private final Listener listener;
 
     /** Notes when the topic can't be read. */
-    private final DependencyWatch watch;
+    private final DependencyMonitor watch;
 
     /** The offset of the next record, or -1 if the newest values have to be read. */
     private long next = -1;
@@ -59,13 +59,13 @@
      * @param pace How often the topic is read.
      * @param listener Takes what is read.
      */
-    TopicFollower(ControlTools tools, TopicRelay relay, String topic, Pace pace, Listener listener) {
+    TopicFollower(ControllerContext tools, TopicRelay relay, String topic, Pace pace, Listener listener) {
         this.tools = tools;
         this.relay = relay;
         this.topic = topic;
         this.pace = pace;
         this.listener = listener;
-        this.watch = new DependencyWatch("log topic " + topic, tools.events());
+        this.watch = new DependencyMonitor("log topic " + topic, tools.events());
     }
 
     /** Reads on. */
@@ -92,7 +92,7 @@
      *
      * @param reading What was read.
      */
-    private void take(TopicReading reading) {
+    private void take(TopicReadResult reading) {
         long offset = next;
         for (byte[] record : reading.records()) {
             long at = offset;
@@ -109,7 +109,7 @@
      * @param reading What was read.
      * @return The pause in milliseconds.
      */
-    private long pauseMillis(TopicReading reading) {
+    private long pauseMillis(TopicReadResult reading) {
         if (!reading.relayed()) {
             return pace.pauseMillis();
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicReading.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicReadResult.java
@@ -12,4 +12,4 @@
  * @param relayed Whether another host read them.
  * @param complete Whether there were no others; if there were, the confirmation says nothing.
  */
-record TopicReading(List<byte[]> records, long next, Confirmation confirmation, boolean relayed, boolean complete) {}
+record TopicReadResult(List<byte[]> records, long next, Confirmation confirmation, boolean relayed, boolean complete) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicRelay.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicRelay.java
@@ -14,8 +14,8 @@
 import org.cranberrygauge.protocol.generated.TopicAnswer;
 import org.cranberrygauge.protocol.generated.TopicQuestion;
 import org.cranberrygauge.proxy.store.Confirmation;
-import org.cranberrygauge.proxy.store.RecordTrail;
-import org.cranberrygauge.proxy.store.RecordTrail.Part;
+import org.cranberrygauge.proxy.store.RecentRecords;
+import org.cranberrygauge.proxy.store.RecentRecords.Part;
 import org.cranberrygauge.proxy.store.SharedLogException;
 import org.cranberrygauge.proxy.store.SharedLogException.Kind;
 
@@ -50,13 +50,13 @@
     private static final int TRIES = 2;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** The other hosts. */
     private final PeerDirectory peers;
 
     /** Carries questions and answers. */
-    private final MessageCarrier channel;
+    private final MessageTransport channel;
 
     /** What is known of the topics by name. */
     private final Map<String, Known> topics = new HashMap<>();
@@ -65,10 +65,10 @@
     private final Map<Long, Promise<TopicAnswer>> open = new HashMap<>();
 
     /** Notes when the log can't be read. */
-    private final DependencyWatch reads;
+    private final DependencyMonitor reads;
 
     /** Notes when no good answer comes. */
-    private final DependencyWatch answers;
+    private final DependencyMonitor answers;
 
     /** The times until which hosts aren't asked. */
     private final Map<NetworkAddress, Long> avoidedUntilMillis = new HashMap<>();
@@ -89,12 +89,12 @@
      * @param peers The other hosts.
      * @param channel Carries questions and answers.
      */
-    TopicRelay(ControlTools tools, PeerDirectory peers, MessageCarrier channel) {
+    TopicRelay(ControllerContext tools, PeerDirectory peers, MessageTransport channel) {
         this.tools = tools;
         this.peers = peers;
         this.channel = channel;
-        this.reads = new DependencyWatch("reads of the log", tools.events());
-        this.answers = new DependencyWatch("answers of other hosts", tools.events());
+        this.reads = new DependencyMonitor("reads of the log", tools.events());
+        this.answers = new DependencyMonitor("answers of other hosts", tools.events());
         channel.onMessage(HostMessage._Fields.QUESTION, (message, sender) -> answer(message.getQuestion(), sender));
         channel.onMessage(HostMessage._Fields.ANSWER, (message, sender) -> take(message.getAnswer()));
     }
@@ -126,7 +126,7 @@
      * @param maximumAgeMillis The highest age of what another host read, in milliseconds.
      * @return The records.
      */
-    Future<TopicReading> read(String topic, long from, long waitMillis, long maximumAgeMillis) {
+    Future<TopicReadResult> read(String topic, long from, long waitMillis, long maximumAgeMillis) {
         Optional<NetworkAddress> reader = reader();
         if (reader.isEmpty()) {
             return readLog(topic, from, waitMillis, maximumAgeMillis);
@@ -156,13 +156,14 @@
      * @param maximumAgeMillis The highest age of what another host read, in milliseconds.
      * @return The records.
      */
-    private Future<TopicReading> readLog(String topic, long from, long waitMillis, long maximumAgeMillis) {
+    private Future<TopicReadResult> readLog(String topic, long from, long waitMillis, long maximumAgeMillis) {
         Confirmation sent = Confirmation.now(tools.time());
         boolean asked = sent.monotonicMillis() - askedMillis < ASKED_MILLIS;
         return tools.log()
                 .read(topic, from, asked ? (long) (waitMillis * ASKED_WAIT_PART) : waitMillis)
                 .onSuccess(slice -> reads.reached(tools.time().monotonicMillis()))
-                .map(slice -> remember(topic, from, new TopicReading(slice.records(), slice.next(), sent, false, true)))
+                .map(slice ->
+                        remember(topic, from, new TopicReadResult(slice.records(), slice.next(), sent, false, true)))
                 .recover(failure -> {
                     if (failure instanceof SharedLogException known && known.kind() == Kind.TRIMMED) {
                         return Future.failedFuture(failure);
@@ -185,15 +186,15 @@
      * @param maximumAgeMillis The highest age of what it read, in milliseconds.
      * @return The records.
      */
-    private Future<TopicReading> ask(NetworkAddress other, String topic, long from, long maximumAgeMillis) {
+    private Future<TopicReadResult> ask(NetworkAddress other, String topic, long from, long maximumAgeMillis) {
         Confirmation sent = Confirmation.now(tools.time());
         return send(other, topic, from, TRIES)
                 .compose(answer -> {
                     if (!answer.isKnown()) {
-                        return Future.<TopicReading>failedFuture("not known from " + from);
+                        return Future.<TopicReadResult>failedFuture("not known from " + from);
                     }
                     if (answer.getAgeMillis() > maximumAgeMillis) {
-                        return Future.<TopicReading>failedFuture(answer.getAgeMillis() + " ms old");
+                        return Future.<TopicReadResult>failedFuture(answer.getAgeMillis() + " ms old");
                     }
                     return Future.succeededFuture(remember(topic, from, reading(answer, from, sent)));
                 })
@@ -235,7 +236,7 @@
      * @param sent The time at which the question was sent.
      * @return What the other host read.
      */
-    private static TopicReading reading(TopicAnswer answer, long from, Confirmation sent) {
+    private static TopicReadResult reading(TopicAnswer answer, long from, Confirmation sent) {
         List<byte[]> records = new ArrayList<>();
         answer.getRecords().forEach(record -> {
             byte[] bytes = new byte[record.remaining()];
@@ -243,7 +244,7 @@
             records.add(bytes);
         });
         Confirmation read = answer.isComplete() ? sent.before(answer.getAgeMillis()) : Confirmation.NONE;
-        return new TopicReading(records, from + records.size(), read, true, answer.isComplete());
+        return new TopicReadResult(records, from + records.size(), read, true, answer.isComplete());
     }
 
     /**
@@ -254,7 +255,7 @@
      * @param reading What was read.
      * @return The same.
      */
-    private TopicReading remember(String topic, long from, TopicReading reading) {
+    private TopicReadResult remember(String topic, long from, TopicReadResult reading) {
         Known known = topics.computeIfAbsent(topic, name -> new Known());
         known.trail.add(from, reading.records());
         known.confirmation = known.confirmation.later(reading.confirmation());
@@ -297,7 +298,7 @@
     private static final class Known {
 
         /** Its newest records. */
-        private final RecordTrail trail = new RecordTrail();
+        private final RecentRecords trail = new RecentRecords();
 
         /** The time up to which there were no other records. */
         private Confirmation confirmation = Confirmation.NONE;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageDesk.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageReportController.java
@@ -7,9 +7,9 @@
 import org.apache.thrift.TException;
 import org.cranberrygauge.protocol.generated.UsageBatch;
 import org.cranberrygauge.protocol.generated.UsageDecided;
-import org.cranberrygauge.proxy.duty.DutyReceiver;
-import org.cranberrygauge.proxy.duty.DutyReceiver.DutyAnswer;
-import org.cranberrygauge.proxy.duty.UsageLedger;
+import org.cranberrygauge.proxy.leader.ControlPlaneClient;
+import org.cranberrygauge.proxy.leader.ControlPlaneClient.ControlPlaneOutcome;
+import org.cranberrygauge.proxy.leader.UsageLedger;
 import org.cranberrygauge.proxy.store.SharedLog.LogSlice;
 import org.cranberrygauge.proxy.store.SharedLogException;
 import org.cranberrygauge.proxy.store.SharedLogException.Kind;
@@ -20,7 +20,7 @@
  * <p>Invariant: the figures of a window are fixed in the shared log before they are reported, so that a later holder repeats
  * them exactly. Used by one thread.
  */
-public final class UsageDesk {
+public final class UsageReportController {
 
     /** The topic with the fixed figures. */
     private static final String DECIDED_TOPIC = "usage-decided";
@@ -35,13 +35,13 @@
     private static final int GIVEN_UP_WINDOWS = 6;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** Tells whether this host holds the duties. */
-    private final DutyKeeper duty;
+    private final LeaderElection duty;
 
     /** Takes the reports. */
-    private final DutyReceiver receiver;
+    private final ControlPlaneClient receiver;
 
     /** The length of a window in milliseconds. */
     private final long windowMillis;
@@ -69,7 +69,8 @@
      * @param receiver Takes the reports.
      * @param windowMillis The length of a window in milliseconds.
      */
-    public UsageDesk(ControlTools tools, DutyKeeper duty, DutyReceiver receiver, long windowMillis) {
+    public UsageReportController(
+            ControllerContext tools, LeaderElection duty, ControlPlaneClient receiver, long windowMillis) {
         this.tools = tools;
         this.duty = duty;
         this.receiver = receiver;
@@ -166,10 +167,10 @@
         duty.acting();
         return receiver.reportUsage(fence, window, figures).map(answer -> {
             tools.events().emit(new ControlEvents.UsageReported(window, figures, fence, answer.name()));
-            if (answer == DutyAnswer.ACCEPTED) {
+            if (answer == ControlPlaneOutcome.ACCEPTED) {
                 reported.add(window);
             }
-            if (answer == DutyAnswer.FENCED) {
+            if (answer == ControlPlaneOutcome.FENCED) {
                 duty.refused(fence);
             }
             return null;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageShipper.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageShipper.java
@@ -9,9 +9,9 @@
 import org.cranberrygauge.protocol.generated.HostMessage;
 import org.cranberrygauge.protocol.generated.UsageBatch;
 import org.cranberrygauge.protocol.generated.UsageCounted;
-import org.cranberrygauge.proxy.duty.UsageCount;
-import org.cranberrygauge.proxy.duty.UsageCounter;
-import org.cranberrygauge.proxy.duty.UsageGathering;
+import org.cranberrygauge.proxy.leader.PendingUsageCounts;
+import org.cranberrygauge.proxy.leader.UsageCount;
+import org.cranberrygauge.proxy.leader.UsageCounter;
 
 /**
  * Brings the usage counts of this host into the shared log: through the host that reads for the data centre, or by itself.
@@ -34,7 +34,7 @@
     private static final int SUBSTITUTES = 3;
 
     /** The tools. */
-    private final ControlTools tools;
+    private final ControllerContext tools;
 
     /** What connects this host with the others. */
     private final HostNetwork network;
@@ -46,10 +46,10 @@
     private final String incarnation;
 
     /** The counts that this host writes. */
-    private final UsageGathering gathering = new UsageGathering();
+    private final PendingUsageCounts gathering = new PendingUsageCounts();
 
     /** Notes when counts can't be written. */
-    private final DependencyWatch watch;
+    private final DependencyMonitor watch;
 
     /**
      * Creates a shipper.
@@ -59,12 +59,12 @@
      * @param counter The counts of this host.
      * @param incarnation The name of this start of the host.
      */
-    public UsageShipper(ControlTools tools, HostNetwork network, UsageCounter counter, String incarnation) {
+    public UsageShipper(ControllerContext tools, HostNetwork network, UsageCounter counter, String incarnation) {
         this.tools = tools;
         this.network = network;
         this.counter = counter;
         this.incarnation = incarnation;
-        this.watch = new DependencyWatch("usage counts", tools.events());
+        this.watch = new DependencyMonitor("usage counts", tools.events());
         network.channel().onMessage(HostMessage._Fields.USAGE, (message, sender) -> gather(message.getUsage()));
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendAttempt.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendAttempt.java
@@ -6,8 +6,8 @@
 import io.vertx.core.http.HttpClientResponse;
 import java.util.Optional;
 import org.cranberrygauge.proxy.backend.Backend;
-import org.cranberrygauge.proxy.exchange.HeaderDialect.AnswerHead;
-import org.cranberrygauge.proxy.exchange.HeaderDialect.BackendHead;
+import org.cranberrygauge.proxy.exchange.HeaderCodec.BackendHeaders;
+import org.cranberrygauge.proxy.exchange.HeaderCodec.BackendResponseHeaders;
 import org.cranberrygauge.proxy.retry.AttemptOutcome;
 import org.cranberrygauge.proxy.stream.EventSplitter;
 
@@ -32,7 +32,7 @@
     private static final int LONGEST_WHOLE_BYTES = 8 << 20;
 
     /** The dialect. */
-    private final HeaderDialect dialect;
+    private final HeaderCodec dialect;
 
     /** The request. */
     private final ProxyRequest request;
@@ -63,7 +63,7 @@
      * @param backend The backend server.
      * @param listener Hears what comes of the attempt.
      */
-    BackendAttempt(HeaderDialect dialect, ProxyRequest request, Backend backend, Listener listener) {
+    BackendAttempt(HeaderCodec dialect, ProxyRequest request, Backend backend, Listener listener) {
         this.dialect = dialect;
         this.request = request;
         this.backend = backend;
@@ -78,7 +78,7 @@
      * @param lastEventId The event after which a stream shall go on.
      */
     void start(BackendClient client, long remainingMillis, Optional<String> lastEventId) {
-        BackendHead head = new BackendHead(
+        BackendHeaders head = new BackendHeaders(
                 request.id(), backend.id(), remainingMillis, request.customer(), request.urgency(), lastEventId);
         client.open(request, backend)
                 .onSuccess(opened -> send(opened, head))
@@ -118,7 +118,7 @@
      * @param opened The request to the backend server.
      * @param head What the proxy says.
      */
-    private void send(HttpClientRequest opened, BackendHead head) {
+    private void send(HttpClientRequest opened, BackendHeaders head) {
         sent = opened;
         if (over) {
             opened.reset();
@@ -152,7 +152,7 @@
         }
         response = answer;
         answer.exceptionHandler(failure -> broken(String.valueOf(failure.getMessage())));
-        AnswerHead head = dialect.readAnswer(answer.headers());
+        BackendResponseHeaders head = dialect.readAnswer(answer.headers());
         if (head.requestId().filter(id -> !id.equals(request.id())).isPresent()) {
             broken("answer names another request");
             return;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
@@ -6,12 +6,12 @@
 import io.vertx.core.http.HttpServerRequest;
 import java.util.Optional;
 import org.cranberrygauge.proxy.admission.RejectReason;
-import org.cranberrygauge.proxy.admission.RequestGate;
-import org.cranberrygauge.proxy.admission.RequestGate.Verdict;
+import org.cranberrygauge.proxy.admission.RequestAdmission;
+import org.cranberrygauge.proxy.admission.RequestAdmission.Verdict;
 import org.cranberrygauge.proxy.configuration.ConfigurationView;
 import org.cranberrygauge.proxy.configuration.Pool;
 import org.cranberrygauge.proxy.configuration.Route;
-import org.cranberrygauge.proxy.exchange.HeaderDialect.CallerHead;
+import org.cranberrygauge.proxy.exchange.HeaderCodec.CallerHeaders;
 
 /**
  * Takes requests of callers: checks their framing, lets the gate decide, reads the body and starts the exchange.
@@ -36,13 +36,13 @@
     private static final long LOOK_MILLIS = 10;
 
     /** The tools. */
-    private final ExchangeTools tools;
+    private final ExchangeContext tools;
 
     /** Decides whether a request waits since the process has just started. */
-    private final StartHold hold = new StartHold();
+    private final StartupGate hold = new StartupGate();
 
     /** Decides which requests are taken. */
-    private final RequestGate gate;
+    private final RequestAdmission gate;
 
     /**
      * Creates a handler.
@@ -50,7 +50,7 @@
      * @param tools The tools.
      * @param gate Decides which requests are taken.
      */
-    public CallerHandler(ExchangeTools tools, RequestGate gate) {
+    public CallerHandler(ExchangeContext tools, RequestAdmission gate) {
         this.tools = tools;
         this.gate = gate;
     }
@@ -92,7 +92,7 @@
      */
     private void take(HttpServerRequest request, long now) {
         CallerReply reply = new CallerReply(request, tools.board()::draining);
-        CallerHead head = tools.dialect().readCaller(request.headers());
+        CallerHeaders head = tools.dialect().readCaller(request.headers());
         ConfigurationView view = tools.board().configuration();
         String host = request.getHeader("Host");
         if (isAmbiguous(request.headers()) || host == null || head.requestId().isEmpty()) {
@@ -152,7 +152,7 @@
     void handleInvalid(HttpServerRequest request) {
         CallerReply reply = new CallerReply(request, tools.board()::draining);
         reply.closeAfterAnswer();
-        CallerHead head = tools.dialect().readCaller(request.headers());
+        CallerHeaders head = tools.dialect().readCaller(request.headers());
         reject(tools.time().monotonicMillis(), request, reply, head, RejectReason.BAD_REQUEST);
     }
 
@@ -193,7 +193,8 @@
      * @param head What the caller says.
      * @param reason The reason.
      */
-    private void reject(long now, HttpServerRequest request, CallerReply reply, CallerHead head, RejectReason reason) {
+    private void reject(
+            long now, HttpServerRequest request, CallerReply reply, CallerHeaders head, RejectReason reason) {
         ConfigurationView view = tools.board().configuration();
         request.exceptionHandler(failure -> {});
         reply.reject(reason);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 import java.util.Set;
 import org.cranberrygauge.proxy.admission.RejectReason;
-import org.cranberrygauge.proxy.admission.WaitingLine.Entry;
+import org.cranberrygauge.proxy.admission.WaitQueue.Entry;
 import org.cranberrygauge.proxy.backend.Backend;
 import org.cranberrygauge.proxy.exchange.BackendAttempt.WholeAnswer;
 import org.cranberrygauge.proxy.retry.AttemptHistory;
 import org.cranberrygauge.proxy.retry.AttemptOutcome;
 import org.cranberrygauge.proxy.retry.NextStep;
-import org.cranberrygauge.proxy.retry.RetryRule;
+import org.cranberrygauge.proxy.retry.RetryPolicy;
 import org.cranberrygauge.proxy.routing.BackendChooser;
 import org.cranberrygauge.proxy.routing.BackendChooser.Choice;
 import org.cranberrygauge.proxy.routing.BackendLoad.Placement;
@@ -26,7 +26,7 @@
 final class Exchange implements BackendAttempt.Listener {
 
     /** The tools. */
-    private final ExchangeTools tools;
+    private final ExchangeContext tools;
 
     /** The request. */
     private final ProxyRequest request;
@@ -35,7 +35,7 @@
     private final CallerReply reply;
 
     /** Tells what becomes of the request. */
-    private final ExchangeReport report;
+    private final ExchangeRecorder report;
 
     /** The incarnations of backend servers that were tried. */
     private final Set<String> tried = new HashSet<>();
@@ -77,11 +77,11 @@
      * @param request The request.
      * @param reply The answer to the caller.
      */
-    Exchange(ExchangeTools tools, ProxyRequest request, CallerReply reply) {
+    Exchange(ExchangeContext tools, ProxyRequest request, CallerReply reply) {
         this.tools = tools;
         this.request = request;
         this.reply = reply;
-        this.report = new ExchangeReport(tools, request);
+        this.report = new ExchangeRecorder(tools, request);
         this.lastEventId = request.head().lastEventId();
     }
 
@@ -160,10 +160,10 @@
         noteFailure(backend, outcome, now);
         history = history.withOutcome(outcome);
         long remaining = request.endMillis() - now;
-        NextStep next = RetryRule.next(request.route(), history, outcome, remaining);
+        NextStep next = RetryPolicy.next(request.route(), history, outcome, remaining);
         boolean another = next == NextStep.TRY_ANOTHER && mayRepeat(outcome, now);
         if (next == NextStep.TRY_ANOTHER && !another) {
-            next = RetryRule.withoutAnother(history, outcome);
+            next = RetryPolicy.withoutAnother(history, outcome);
         }
         report.attemptFailed(backend, outcome, detail, next, history, remaining, now - attemptMillis);
         follow(next, outcome);
@@ -180,7 +180,7 @@
             if (tryNext()) {
                 return;
             }
-            follow(RetryRule.withoutAnother(history, outcome), outcome);
+            follow(RetryPolicy.withoutAnother(history, outcome), outcome);
             return;
         }
         switch (next) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeTools.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Vertx;
 import org.cranberrygauge.proxy.backend.Backend;
 import org.cranberrygauge.proxy.configuration.Pool;
-import org.cranberrygauge.proxy.duty.UsageCounter;
-import org.cranberrygauge.proxy.retry.CrashRegister;
+import org.cranberrygauge.proxy.leader.UsageCounter;
+import org.cranberrygauge.proxy.retry.CrashTracker;
 import org.cranberrygauge.proxy.routing.BackendChooser;
 import org.cranberrygauge.proxy.routing.BackendLoad;
 import org.cranberrygauge.proxy.routing.LoadTable;
@@ -31,18 +31,18 @@
  * @param metrics The metrics.
  * @param events The event log.
  */
-public record ExchangeTools(
+public record ExchangeContext(
         Vertx vertx,
         TimeSource time,
-        ProxyBoard board,
+        ProxyState board,
         BackendClient client,
-        HeaderDialect dialect,
+        HeaderCodec dialect,
         BackendChooser chooser,
         LoadTable loads,
         PlacementExchange placements,
-        PoolLines lines,
-        PoolBudgets budgets,
-        CrashRegister crashes,
+        PoolWaitQueues lines,
+        PoolRetryBudgets budgets,
+        CrashTracker crashes,
         UsageCounter usage,
         TimeSource usageTime,
         ExchangeMetrics metrics,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeReport.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeRecorder.java
@@ -11,13 +11,13 @@
  *
  * <p>Invariant: a request is counted at most once as one that began to run. Used by one thread.
  */
-final class ExchangeReport {
+final class ExchangeRecorder {
 
     /** The label of requests without a customer. */
     private static final String NO_CUSTOMER = "-";
 
     /** The tools. */
-    private final ExchangeTools tools;
+    private final ExchangeContext tools;
 
     /** The request. */
     private final ProxyRequest request;
@@ -37,7 +37,7 @@
      * @param tools The tools.
      * @param request The request.
      */
-    ExchangeReport(ExchangeTools tools, ProxyRequest request) {
+    ExchangeRecorder(ExchangeContext tools, ProxyRequest request) {
         this.tools = tools;
         this.request = request;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/HeaderDialect.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/HeaderCodec.java
@@ -10,7 +10,7 @@
  *
  * <p>Implementations are stateless and safe for use by several threads.
  */
-public interface HeaderDialect {
+public interface HeaderCodec {
 
     /**
      * Reads what a caller says in its headers.
@@ -18,7 +18,7 @@
      * @param headers The headers.
      * @return What they mean.
      */
-    CallerHead readCaller(MultiMap headers);
+    CallerHeaders readCaller(MultiMap headers);
 
     /**
      * Writes the headers of a request to a backend server: the caller's, except those that concern one connection or belong
@@ -28,7 +28,7 @@
      * @param head What the proxy says.
      * @param target The headers to write.
      */
-    void writeBackend(MultiMap callerHeaders, BackendHead head, MultiMap target);
+    void writeBackend(MultiMap callerHeaders, BackendHeaders head, MultiMap target);
 
     /**
      * Reads what a backend server says in the headers of its answer.
@@ -36,7 +36,7 @@
      * @param headers The headers.
      * @return What they mean.
      */
-    AnswerHead readAnswer(MultiMap headers);
+    BackendResponseHeaders readAnswer(MultiMap headers);
 
     /**
      * Copies the headers of an answer that are passed on to the caller.
@@ -55,7 +55,7 @@
      * @param lastEventId The event after which a stream shall go on.
      * @param prompt The prompt.
      */
-    record CallerHead(
+    record CallerHeaders(
             Optional<String> requestId,
             OptionalLong remainingMillis,
             Optional<String> key,
@@ -72,7 +72,7 @@
      * @param urgency The urgency from 0, the most urgent, to 9.
      * @param lastEventId The event after which a stream shall go on.
      */
-    record BackendHead(
+    record BackendHeaders(
             String requestId,
             String backendId,
             long remainingMillis,
@@ -87,5 +87,5 @@
      * @param notRun Whether it says that the request has not run.
      * @param signature Whether the answer has the signature of a backend server.
      */
-    record AnswerHead(Optional<String> requestId, boolean notRun, boolean signature) {}
+    record BackendResponseHeaders(Optional<String> requestId, boolean notRun, boolean signature) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/FrontServer.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/IngressServer.java
@@ -12,7 +12,7 @@
  *
  * <p>Safe for use by several threads.
  */
-public final class FrontServer {
+public final class IngressServer {
 
     /** The longest head of a request in bytes. */
     private static final int HEAD_BYTES = 65_536;
@@ -32,7 +32,7 @@
      * @param vertx The Vert.x instance.
      * @param handler Takes requests.
      */
-    public FrontServer(Vertx vertx, CallerHandler handler) {
+    public IngressServer(Vertx vertx, CallerHandler handler) {
         HttpServerOptions options = new HttpServerOptions()
                 .setHttp2ClearTextEnabled(false)
                 .setTcpNoDelay(true)
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolBudgets.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolRetryBudgets.java
@@ -9,7 +9,7 @@
  *
  * <p>Used by one thread.
  */
-public final class PoolBudgets {
+public final class PoolRetryBudgets {
 
     /** The budgets by name of the pool. */
     private final Map<String, WindowedRetryBudget> budgets = new HashMap<>();
@@ -30,7 +30,7 @@
      * @param ratio The repeats allowed for each request.
      * @param extra The repeats allowed besides, for all hosts together.
      */
-    public PoolBudgets(long windowMillis, double ratio, double extra) {
+    public PoolRetryBudgets(long windowMillis, double ratio, double extra) {
         this.windowMillis = windowMillis;
         this.ratio = ratio;
         this.extra = extra;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolLines.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolWaitQueues.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.cranberrygauge.proxy.admission.WaitingLine;
+import org.cranberrygauge.proxy.admission.WaitQueue;
 
 /**
  * The requests that wait for room at the engines of each pool.
  *
  * <p>Used by one thread.
  */
-public final class PoolLines {
+public final class PoolWaitQueues {
 
     /** The lines by name of the pool. */
-    private final Map<String, WaitingLine<Exchange>> lines = new HashMap<>();
+    private final Map<String, WaitQueue<Exchange>> lines = new HashMap<>();
 
     /**
      * Returns the line of a pool.
@@ -21,8 +21,8 @@
      * @param pool The name of the pool.
      * @return The line.
      */
-    WaitingLine<Exchange> of(String pool) {
-        return lines.computeIfAbsent(pool, name -> new WaitingLine<>());
+    WaitQueue<Exchange> of(String pool) {
+        return lines.computeIfAbsent(pool, name -> new WaitQueue<>());
     }
 
     /**
@@ -31,7 +31,7 @@
      * @param nowMillis The present monotonic time in milliseconds.
      */
     public void advance(long nowMillis) {
-        for (WaitingLine<Exchange> line : lines.values()) {
+        for (WaitQueue<Exchange> line : lines.values()) {
             line.takeGivenUp(nowMillis).forEach(Exchange::giveUpWaiting);
             Optional<Exchange> first = line.first(nowMillis);
             while (first.isPresent() && first.get().tryWaiting()) {
@@ -47,6 +47,6 @@
      * @return The number.
      */
     public int size() {
-        return lines.values().stream().mapToInt(WaitingLine::size).sum();
+        return lines.values().stream().mapToInt(WaitQueue::size).sum();
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyRequest.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyRequest.java
@@ -7,7 +7,7 @@
 import org.cranberrygauge.decision.topology.StableHash;
 import org.cranberrygauge.proxy.configuration.Pool;
 import org.cranberrygauge.proxy.configuration.Route;
-import org.cranberrygauge.proxy.exchange.HeaderDialect.CallerHead;
+import org.cranberrygauge.proxy.exchange.HeaderCodec.CallerHeaders;
 
 /**
  * A request that was taken, with its whole body.
@@ -33,7 +33,7 @@
         String host,
         MultiMap headers,
         Buffer body,
-        CallerHead head,
+        CallerHeaders head,
         Route route,
         Pool pool,
         Optional<String> customer,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyBoard.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyState.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
-import org.cranberrygauge.proxy.backend.BackendCatalogue;
+import org.cranberrygauge.proxy.backend.BackendSnapshot;
 import org.cranberrygauge.proxy.configuration.ConfigurationView;
 import org.cranberrygauge.proxy.routing.PeerLoads;
 
@@ -11,13 +11,13 @@
  *
  * <p>Each value is immutable and replaced as a whole. Safe for use by several threads.
  */
-public final class ProxyBoard {
+public final class ProxyState {
 
     /** The configuration. */
     private final AtomicReference<ConfigurationView> configuration = new AtomicReference<>(ConfigurationView.NONE);
 
     /** The backend servers. */
-    private final AtomicReference<BackendCatalogue> backends = new AtomicReference<>(BackendCatalogue.UNKNOWN);
+    private final AtomicReference<BackendSnapshot> backends = new AtomicReference<>(BackendSnapshot.UNKNOWN);
 
     /** The work of the other hosts. */
     private final AtomicReference<PeerLoads> peers = new AtomicReference<>(PeerLoads.ALONE);
@@ -57,7 +57,7 @@
      *
      * @return The backend servers.
      */
-    public BackendCatalogue backends() {
+    public BackendSnapshot backends() {
         return backends.get();
     }
 
@@ -66,7 +66,7 @@
      *
      * @param catalogue The backend servers.
      */
-    public void publish(BackendCatalogue catalogue) {
+    public void publish(BackendSnapshot catalogue) {
         backends.set(catalogue);
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartHold.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
@@ -6,7 +6,7 @@
  * <p>After a full stop the callers come at once, a little before the first reads of the shared log end. Stateless and safe for
  * use by several threads.
  */
-final class StartHold {
+final class StartupGate {
 
     /** The longest time that a request waits, in milliseconds. */
     private static final long HOLD_MILLIS = 400;
@@ -19,7 +19,7 @@
      * @param board What the host believes.
      * @return Whether it waits.
      */
-    boolean holds(long nowMillis, long arrivedMillis, ProxyBoard board) {
+    boolean holds(long nowMillis, long arrivedMillis, ProxyState board) {
         if (board.draining() || nowMillis - arrivedMillis >= HOLD_MILLIS) {
             return false;
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/duty/DutyReceiver.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/ControlPlaneClient.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import io.vertx.core.Future;
 import java.util.Map;
@@ -8,7 +8,7 @@
  *
  * <p>Safe for use by several threads. A call without an answer may still be carried out later.
  */
-public interface DutyReceiver {
+public interface ControlPlaneClient {
 
     /**
      * Reports the figures of a usage window.
@@ -18,7 +18,7 @@
      * @param byCustomer The figures.
      * @return What the receiver said.
      */
-    Future<DutyAnswer> reportUsage(long fencingToken, long window, Map<String, Long> byCustomer);
+    Future<ControlPlaneOutcome> reportUsage(long fencingToken, long window, Map<String, Long> byCustomer);
 
     /**
      * Orders backend servers.
@@ -27,10 +27,10 @@
      * @param order The order.
      * @return What the receiver said.
      */
-    Future<DutyAnswer> order(long fencingToken, BackendOrder order);
+    Future<ControlPlaneOutcome> order(long fencingToken, BackendOrder order);
 
     /** What a receiver says. */
-    enum DutyAnswer {
+    enum ControlPlaneOutcome {
         /** The call was carried out. */
         ACCEPTED,
         /** A higher fencing token has been used. */
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/duty/SteadyTimeSource.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/JumpTolerantTimeSource.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import org.cranberrygauge.runtime.time.TimeSource;
 
@@ -7,7 +7,7 @@
  *
  * <p>A jump counts once it has lasted, so that windows of usage are cut alike on all hosts. Safe for use by several threads.
  */
-public final class SteadyTimeSource implements TimeSource {
+public final class JumpTolerantTimeSource implements TimeSource {
 
     /** The difference from which a change is a jump, in milliseconds. */
     private static final long JUMP_MILLIS = 250;
@@ -29,7 +29,7 @@
      *
      * @param system The clocks of the system.
      */
-    public SteadyTimeSource(TimeSource system) {
+    public JumpTolerantTimeSource(TimeSource system) {
         this.system = system;
         this.offsetMillis = system.wallMillis() - system.monotonicMillis();
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/duty/DutyLease.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/LeaderLease.java
@@ -1,8 +1,8 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import java.util.OptionalLong;
 import org.cranberrygauge.proxy.store.Confirmation;
-import org.cranberrygauge.proxy.store.SharedLog.GroupShare;
+import org.cranberrygauge.proxy.store.SharedLog.GroupAssignment;
 
 /**
  * Decides whether this host may act for all.
@@ -13,7 +13,7 @@
  * its last act, so that two holders never act by turns within a lease; a process that has just started waits as long, since
  * it doesn't know what the process before it did; a token that was refused is never used again. Used by one thread.
  */
-public final class DutyLease {
+public final class LeaderLease {
 
     /** The time between an act before the duties were lost and one after they came back, in milliseconds. */
     private final long leaseMillis;
@@ -46,7 +46,7 @@
      * @param leaseMillis The time between an act before the duties were lost and one after, in milliseconds.
      * @param validMillis The age of the last join up to which the holder acts, in milliseconds.
      */
-    public DutyLease(long startMillis, long leaseMillis, long validMillis) {
+    public LeaderLease(long startMillis, long leaseMillis, long validMillis) {
         this.earlierActMillis = startMillis;
         this.actedMillis = startMillis;
         this.leaseMillis = leaseMillis;
@@ -60,7 +60,7 @@
      * @param sentWallMillis The time of day at which it was sent, in milliseconds of the epoch.
      * @param share What the host holds.
      */
-    public void joined(long sentMillis, long sentWallMillis, GroupShare share) {
+    public void joined(long sentMillis, long sentWallMillis, GroupAssignment share) {
         if (held && (!share.holdsFirst() || !isValid(sentMillis, sentWallMillis))) {
             earlierActMillis = actedMillis;
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/duty/UsageGathering.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/PendingUsageCounts.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * <p>Invariants: counts are cumulative, so that a lower one of the same start of a host and window is an older one and is
  * dropped; counts are written again only once they rose. Used by one thread.
  */
-public final class UsageGathering {
+public final class PendingUsageCounts {
 
     /** The windows that are remembered. */
     private static final int REMEMBERED_WINDOWS = 12;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/duty/UsageCounter.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/UsageCounter.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/CrashRegister.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/CrashTracker.java
@@ -12,7 +12,7 @@
  * <p>A request that does so again and again probably crashes the servers that run it, and is refused for a time. Invariant:
  * a bounded number of requests is remembered. Safe for use by several threads.
  */
-public final class CrashRegister {
+public final class CrashTracker {
 
     /** The crashes from which a request is refused. */
     private static final int REFUSED_FROM_CRASHES = 3;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/RetryRule.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/RetryPolicy.java
@@ -8,7 +8,7 @@
  * <p>Invariants: a request that may have run is sent again only where its route allows it; it is refused as not run only if
  * no attempt can have run. Stateless and safe for use by several threads.
  */
-public final class RetryRule {
+public final class RetryPolicy {
 
     /** The connects that may fail before the request is refused. */
     private static final int MAXIMUM_FAILED_CONNECTS = 16;
@@ -17,7 +17,7 @@
     private static final long MINIMUM_REMAINING_MILLIS = 30;
 
     /** Prevents instances. */
-    private RetryRule() {}
+    private RetryPolicy() {}
 
     /**
      * Decides what follows a failed attempt.
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendChooser.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendChooser.java
@@ -151,7 +151,7 @@
      * @return Whether it has no room.
      */
     private boolean isCrowded(Pool pool, Backend backend, Prompt prompt, PeerLoads peers) {
-        if (pool.engine().isEmpty() || EngineLanes.isShort(prompt)) {
+        if (pool.engine().isEmpty() || EnginePartition.isShort(prompt)) {
             return false;
         }
         BackendLoad load = load(pool, backend);
@@ -181,12 +181,12 @@
      * @return The prediction.
      */
     private ToDoubleFunction<Backend> engineCosts(Pool pool, List<Backend> ready, Prompt prompt, PeerLoads peers) {
-        List<Backend> lane = EngineLanes.split(ready).of(prompt);
+        List<Backend> lane = EnginePartition.split(ready).of(prompt);
         List<Backend> homes = homes(lane, prompt);
         return backend -> {
             int home = homes.indexOf(backend);
             double cost = engineCost(pool, backend, prompt, peers, home < 0 ? MOST_TIMES_AGAIN : home);
-            if (!EngineLanes.isShort(prompt)) {
+            if (!EnginePartition.isShort(prompt)) {
                 return lane.contains(backend) ? cost : cost + SHORT_LANE_MILLIS;
             }
             cost *= 1 + SPREAD_PART * random.nextDouble();
@@ -213,7 +213,7 @@
         double cost = (work.unreadTokens() + uncached) / READ_TOKENS_PER_MILLI;
         cost += prompt.outputTokens() * step * OUTPUT_PART;
         cost += load.uncachedSharedTokens(prompt) / READ_TOKENS_PER_MILLI * Math.min(MOST_TIMES_AGAIN, home);
-        if (!EngineLanes.isShort(prompt)) {
+        if (!EnginePartition.isShort(prompt)) {
             cost += work.shortRunning() * uncached / READ_TOKENS_PER_MILLI * HOLD_UP_PART;
         }
         cost += Math.max(0, work.running() + 1 - backend.slots()) * MILLIS_PER_QUEUED;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendLoad.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendLoad.java
@@ -74,7 +74,7 @@
         running++;
         unreadTokens += unread;
         heldTokens += held;
-        boolean isShort = EngineLanes.isShort(prompt);
+        boolean isShort = EnginePartition.isShort(prompt);
         shortRunning += isShort ? 1 : 0;
         cached.note(prompt.parts());
         return new Placement(this, unread, held, isShort);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/EngineLanes.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/EnginePartition.java
@@ -14,7 +14,7 @@
  * @param shortPrompts The engines for short prompts; all if there are too few to split.
  * @param longPrompts The engines for long prompts; all if there are too few to split.
  */
-public record EngineLanes(List<Backend> shortPrompts, List<Backend> longPrompts) {
+public record EnginePartition(List<Backend> shortPrompts, List<Backend> longPrompts) {
 
     /** The longest prompt that counts as short, in tokens; an engine reads that much in one step. */
     private static final long SHORT_PROMPT_TOKENS = 4_096;
@@ -29,7 +29,7 @@
     private static final String KEY = "short prompts";
 
     /** Copies the lists. */
-    public EngineLanes {
+    public EnginePartition {
         shortPrompts = List.copyOf(shortPrompts);
         longPrompts = List.copyOf(longPrompts);
     }
@@ -40,13 +40,13 @@
      * @param ready The engines that take new work.
      * @return The lanes.
      */
-    public static EngineLanes split(List<Backend> ready) {
+    public static EnginePartition split(List<Backend> ready) {
         if (ready.size() < SPLIT_FROM) {
-            return new EngineLanes(ready, ready);
+            return new EnginePartition(ready, ready);
         }
         int number = (int) Math.ceil(ready.size() * SHORT_PART);
         List<Backend> ranked = RendezvousHash.ranked(KEY, ready, Backend::incarnation);
-        return new EngineLanes(ranked.subList(0, number), ranked.subList(number, ranked.size()));
+        return new EnginePartition(ranked.subList(0, number), ranked.subList(number, ranked.size()));
     }
 
     /**
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/LoadTable.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/LoadTable.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.cranberrygauge.proxy.backend.BackendCatalogue;
+import org.cranberrygauge.proxy.backend.BackendSnapshot;
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 
 /**
@@ -43,7 +43,7 @@
      *
      * @param catalogue The backend servers that are listed.
      */
-    public void forgetUnlisted(BackendCatalogue catalogue) {
+    public void forgetUnlisted(BackendSnapshot catalogue) {
         loads.entrySet().removeIf(entry -> entry.getValue().work().running() == 0 && !catalogue.lists(entry.getKey()));
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/RecordTrail.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/RecentRecords.java
@@ -11,7 +11,7 @@
  *
  * <p>Invariant: the records are those of all offsets from the first kept one up to the end. Used by one thread.
  */
-public final class RecordTrail {
+public final class RecentRecords {
 
     /** The highest number of bytes that are kept. */
     private static final int KEPT_BYTES = 128 * 1024;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/SharedLog.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/SharedLog.java
@@ -61,7 +61,7 @@
      * @param generation The last generation that the member was told, or 0.
      * @return What the member holds.
      */
-    Future<GroupShare> join(String group, String member, String topic, long lifetimeMillis, long generation);
+    Future<GroupAssignment> join(String group, String member, String topic, long lifetimeMillis, long generation);
 
     /**
      * Leaves a group.
@@ -95,5 +95,5 @@
      * @param generation The generation, which rises with each change of the group.
      * @param holdsFirst Whether the member holds the first part of the topic, which only one member does.
      */
-    record GroupShare(long generation, boolean holdsFirst) {}
+    record GroupAssignment(long generation, boolean holdsFirst) {}
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/admission/RequestGateTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/admission/RequestAdmissionTest.java
@@ -4,17 +4,17 @@
 
 import java.util.Optional;
 import org.cranberrygauge.proxy.ProxyFixtures;
-import org.cranberrygauge.proxy.admission.RequestGate.Verdict;
+import org.cranberrygauge.proxy.admission.RequestAdmission.Verdict;
 import org.cranberrygauge.proxy.configuration.ConfigurationView;
 import org.cranberrygauge.proxy.configuration.RouteKind;
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.junit.jupiter.api.Test;
 
-class RequestGateTest {
+class RequestAdmissionTest {
 
     private static final long WALL = 5_000_000;
 
-    private final RequestGate gate = new RequestGate(4_750, 2_000);
+    private final RequestAdmission gate = new RequestAdmission(4_750, 2_000);
 
     private final ConfigurationView view = new ConfigurationView(
             Optional.of(ProxyFixtures.configuration(
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/admission/WaitingLineTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/admission/WaitQueueTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.cranberrygauge.proxy.admission.WaitingLine.Entry;
+import org.cranberrygauge.proxy.admission.WaitQueue.Entry;
 import org.junit.jupiter.api.Test;
 
 /** Answers the pattern of a burst of long prompts of one class beside a more urgent one. */
-class WaitingLineTest {
+class WaitQueueTest {
 
-    private final WaitingLine<String> line = new WaitingLine<>();
+    private final WaitQueue<String> line = new WaitQueue<>();
 
     @Test
     void theMostUrgentGoesFirst() {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/backend/BackendRegisterTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/backend/BackendRegistryTest.java
@@ -7,9 +7,9 @@
 import org.cranberrygauge.proxy.ProxyFixtures;
 import org.junit.jupiter.api.Test;
 
-class BackendRegisterTest {
+class BackendRegistryTest {
 
-    private final BackendRegister register = new BackendRegister();
+    private final BackendRegistry register = new BackendRegistry();
 
     private final Backend first = ProxyFixtures.backend("first");
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/TopicRelayTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/TopicRelayTest.java
@@ -18,7 +18,7 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.protocol.generated.HostMessage;
 import org.cranberrygauge.protocol.generated.HostReport;
-import org.cranberrygauge.proxy.exchange.ProxyBoard;
+import org.cranberrygauge.proxy.exchange.ProxyState;
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.cranberrygauge.proxy.store.SharedLog;
 import org.cranberrygauge.proxy.store.SharedLogException;
@@ -59,7 +59,7 @@
     void theFirstHostReadsAndTheOtherAsksIt() throws Exception {
         firstLog.records = List.of(new byte[] {1}, new byte[] {2});
         read(first, 5);
-        TopicReading reading = read(second, 6);
+        TopicReadResult reading = read(second, 6);
         assertThat(reading.relayed()).isTrue();
         assertThat(reading.records()).containsExactly(new byte[] {2});
         assertThat(reading.next()).isEqualTo(7);
@@ -70,7 +70,7 @@
     void whatIsPassedOnIsAsOldAsTheRead() throws Exception {
         read(first, 5);
         clock.advance(400);
-        TopicReading reading = read(second, 5);
+        TopicReadResult reading = read(second, 5);
         assertThat(reading.relayed()).isTrue();
         assertThat(reading.confirmation().monotonicMillis()).isEqualTo(clock.now - 400);
     }
@@ -99,11 +99,11 @@
     void manyRecordsComeInSeveralAnswersOfWhichTheLastConfirms() throws Exception {
         firstLog.records = List.of(new byte[3_000], new byte[3_000]);
         read(first, 5);
-        TopicReading part = read(second, 5);
+        TopicReadResult part = read(second, 5);
         assertThat(part.complete()).isFalse();
         assertThat(part.next()).isEqualTo(6);
         assertThat(part.confirmation()).isEqualTo(Confirmation.NONE);
-        TopicReading rest = read(second, part.next());
+        TopicReadResult rest = read(second, part.next());
         assertThat(rest.complete()).isTrue();
         assertThat(rest.next()).isEqualTo(7);
         assertThat(secondLog.reads).isZero();
@@ -146,7 +146,7 @@
                 .hasCause(firstLog.failure);
     }
 
-    private TopicReading read(TopicRelay relay, long from) throws Exception {
+    private TopicReadResult read(TopicRelay relay, long from) throws Exception {
         return relay.read(TOPIC, from, 1_000, 800)
                 .toCompletionStage()
                 .toCompletableFuture()
@@ -157,7 +157,7 @@
         PeerDirectory peers = new PeerDirectory(name, "east");
         peers.take(clock.now, report(other, 1), network.address(other));
         network.directories.put(name, peers);
-        ControlTools tools = new ControlTools(vertx, clock, log, new ProxyBoard(), EventLog.NoOp.INSTANCE);
+        ControllerContext tools = new ControllerContext(vertx, clock, log, new ProxyState(), EventLog.NoOp.INSTANCE);
         return new TopicRelay(tools, peers, network.carrier(name));
     }
 
@@ -211,11 +211,11 @@
             directories.get("host-2").take(clock.now, TopicRelayTest.report(host, clock.now), address(host));
         }
 
-        MessageCarrier carrier(String host) {
+        MessageTransport carrier(String host) {
             Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>> own =
                     new EnumMap<>(HostMessage._Fields.class);
             takers.put(address(host), own);
-            return new MessageCarrier() {
+            return new MessageTransport() {
 
                 @Override
                 public void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> taker) {
@@ -281,7 +281,7 @@
         }
 
         @Override
-        public Future<GroupShare> join(
+        public Future<GroupAssignment> join(
                 String group, String member, String topic, long lifetimeMillis, long generation) {
             throw new UnsupportedOperationException();
         }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartHoldTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
@@ -5,24 +5,24 @@
 import java.util.List;
 import java.util.Optional;
 import org.cranberrygauge.proxy.ProxyFixtures;
-import org.cranberrygauge.proxy.backend.BackendCatalogue;
+import org.cranberrygauge.proxy.backend.BackendSnapshot;
 import org.cranberrygauge.proxy.configuration.ConfigurationView;
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.junit.jupiter.api.Test;
 
 /** Answers the pattern of callers that come back at once after all hosts were stopped. */
-class StartHoldTest {
+class StartupGateTest {
 
-    private final StartHold hold = new StartHold();
+    private final StartupGate hold = new StartupGate();
 
-    private final ProxyBoard board = new ProxyBoard();
+    private final ProxyState board = new ProxyState();
 
     @Test
     void aRequestWaitsUntilConfigurationAndBackendServersAreKnown() {
         assertThat(hold.holds(100, 0, board)).isTrue();
         board.publish(new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(0, 0)));
         assertThat(hold.holds(150, 0, board)).isTrue();
-        board.publish(new BackendCatalogue(List.of(), true));
+        board.publish(new BackendSnapshot(List.of(), true));
         assertThat(hold.holds(160, 0, board)).isFalse();
     }
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/duty/SteadyTimeSourceTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/JumpTolerantTimeSourceTest.java
@@ -1,11 +1,11 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.cranberrygauge.runtime.time.TimeSource;
 import org.junit.jupiter.api.Test;
 
-class SteadyTimeSourceTest {
+class JumpTolerantTimeSourceTest {
 
     private static final long EPOCH = 1_000_000;
 
@@ -13,7 +13,7 @@
 
     private long jump;
 
-    private final TimeSource steady = new SteadyTimeSource(new TimeSource() {
+    private final TimeSource steady = new JumpTolerantTimeSource(new TimeSource() {
         @Override
         public long monotonicMillis() {
             return now;
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/duty/DutyLeaseTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/LeaderLeaseTest.java
@@ -1,15 +1,15 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.cranberrygauge.proxy.store.SharedLog.GroupShare;
+import org.cranberrygauge.proxy.store.SharedLog.GroupAssignment;
 import org.junit.jupiter.api.Test;
 
-class DutyLeaseTest {
+class LeaderLeaseTest {
 
     private static final long WALL = 1_000_000;
 
-    private final DutyLease lease = new DutyLease(0, 3_000, 2_600);
+    private final LeaderLease lease = new LeaderLease(0, 3_000, 2_600);
 
     @Test
     void aNewProcessWaitsForALeaseAndThenActsWithTheGeneration() {
@@ -61,7 +61,7 @@
     }
 
     private void join(long now, long generation, boolean holds) {
-        lease.joined(now, WALL + now, new GroupShare(generation, holds));
+        lease.joined(now, WALL + now, new GroupAssignment(generation, holds));
     }
 
     private long token(long now) {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/duty/UsageGatheringTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/PendingUsageCountsTest.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,9 +6,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class UsageGatheringTest {
+class PendingUsageCountsTest {
 
-    private final UsageGathering gathering = new UsageGathering();
+    private final PendingUsageCounts gathering = new PendingUsageCounts();
 
     @Test
     void takesTheCountsOfSeveralHostsAtOnce() {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/duty/UsageLedgerTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/UsageLedgerTest.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.proxy.duty;
+package org.cranberrygauge.proxy.leader;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/CrashRegisterTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/CrashTrackerTest.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class CrashRegisterTest {
+class CrashTrackerTest {
 
-    private final CrashRegister register = new CrashRegister();
+    private final CrashTracker register = new CrashTracker();
 
     @Test
     void refusesARequestAfterThreeCrashesOverAllHosts() {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/RetryRuleTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/RetryPolicyTest.java
@@ -6,7 +6,7 @@
 import org.cranberrygauge.proxy.configuration.RouteKind;
 import org.junit.jupiter.api.Test;
 
-class RetryRuleTest {
+class RetryPolicyTest {
 
     private static final long ENOUGH_MILLIS = 1_000;
 
@@ -32,7 +32,7 @@
         for (int dead = 0; dead < 14; dead++) {
             history = history.withOutcome(AttemptOutcome.NOT_CONNECTED);
         }
-        assertThat(RetryRule.next(
+        assertThat(RetryPolicy.next(
                         ProxyFixtures.route(RouteKind.AT_MOST_ONCE, 1),
                         history,
                         AttemptOutcome.NOT_CONNECTED,
@@ -44,7 +44,7 @@
     void aRefusalIsNeverGivenOnceTheRequestMayHaveRun() {
         AttemptHistory history =
                 AttemptHistory.NONE.withOutcome(AttemptOutcome.BROKEN).withOutcome(AttemptOutcome.NOT_RUN);
-        assertThat(RetryRule.next(
+        assertThat(RetryPolicy.next(
                         ProxyFixtures.route(RouteKind.IDEMPOTENT, 2), history, AttemptOutcome.NOT_RUN, ENOUGH_MILLIS))
                 .isEqualTo(NextStep.REPORT_UNKNOWN);
     }
@@ -59,7 +59,7 @@
     @Test
     void aBrokenStreamIsResumedOrCutButNeverAnsweredTwice() {
         AttemptHistory streaming = AttemptHistory.NONE.withStart().withOutcome(AttemptOutcome.STREAM_BROKEN);
-        assertThat(RetryRule.next(
+        assertThat(RetryPolicy.next(
                         ProxyFixtures.route(RouteKind.RESUMABLE_STREAM, 2),
                         streaming,
                         AttemptOutcome.STREAM_BROKEN,
@@ -67,7 +67,8 @@
                 .isEqualTo(NextStep.TRY_ANOTHER);
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
             if (outcome != AttemptOutcome.NOT_CONNECTED) {
-                assertThat(RetryRule.next(ProxyFixtures.route(RouteKind.STREAM, 1), streaming, outcome, ENOUGH_MILLIS))
+                assertThat(RetryPolicy.next(
+                                ProxyFixtures.route(RouteKind.STREAM, 1), streaming, outcome, ENOUGH_MILLIS))
                         .isEqualTo(NextStep.CUT);
             }
         }
@@ -75,7 +76,7 @@
 
     @Test
     void nothingIsSentAgainAtTheEndOfTheTime() {
-        assertThat(RetryRule.next(
+        assertThat(RetryPolicy.next(
                         ProxyFixtures.route(RouteKind.IDEMPOTENT, 3),
                         AttemptHistory.NONE.withOutcome(AttemptOutcome.NOT_RUN),
                         AttemptOutcome.NOT_RUN,
@@ -84,7 +85,7 @@
     }
 
     private static NextStep after(RouteKind kind, int attempts, AttemptOutcome outcome) {
-        return RetryRule.next(
+        return RetryPolicy.next(
                 ProxyFixtures.route(kind, attempts), AttemptHistory.NONE.withOutcome(outcome), outcome, ENOUGH_MILLIS);
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendChooserTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendChooserTest.java
@@ -58,7 +58,7 @@
     @Test
     void whatAnotherHostSentCountsAsCached() {
         Prompt prompt = ProxyFixtures.study("document");
-        Backend away = EngineLanes.split(engines).longPrompts().stream()
+        Backend away = EnginePartition.split(engines).longPrompts().stream()
                 .filter(engine ->
                         !engine.equals(choose(chooser, prompt, PeerLoads.ALONE).backend()))
                 .findFirst()
@@ -71,7 +71,7 @@
     @Test
     void chatsAvoidEnginesThatReadLongPrompts() {
         Map<String, Work> work = new HashMap<>();
-        EngineLanes lanes = EngineLanes.split(engines);
+        EnginePartition lanes = EnginePartition.split(engines);
         lanes.longPrompts().forEach(engine -> work.put(engine.incarnation(), new Work(8, 30_000, 60_000, 0)));
         lanes.shortPrompts().forEach(engine -> work.put(engine.incarnation(), new Work(12, 1_000, 15_000, 12)));
         PeerLoads peers = new PeerLoads(work, 4);
@@ -84,7 +84,7 @@
 
     @Test
     void studiesAndChatsGoToEnginesOfTheirOwnAlsoWithoutAnyLoad() {
-        EngineLanes lanes = EngineLanes.split(engines);
+        EnginePartition lanes = EnginePartition.split(engines);
         for (int number = 0; number < 40; number++) {
             assertThat(lanes.longPrompts())
                     .contains(choose(chooser, ProxyFixtures.study("document-" + number), PeerLoads.ALONE)
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/EngineLanesTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/EnginePartitionTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Answers the pattern of chats beside studies whose prompts hold up every step of an engine. */
-class EngineLanesTest {
+class EnginePartitionTest {
 
     @Test
     void aPartOfTheEnginesIsForShortPromptsAndNoneIsInBothLanes() {
-        EngineLanes lanes = EngineLanes.split(engines(8));
+        EnginePartition lanes = EnginePartition.split(engines(8));
         assertThat(lanes.shortPrompts()).hasSize(2);
         assertThat(lanes.longPrompts()).hasSize(6).doesNotContainAnyElementsOf(lanes.shortPrompts());
     }
@@ -23,30 +23,30 @@
     @Test
     void allHostsSplitAlikeWhateverTheOrder() {
         List<Backend> engines = engines(10);
-        EngineLanes lanes = EngineLanes.split(engines);
+        EnginePartition lanes = EnginePartition.split(engines);
         Collections.shuffle(engines, new Random(3));
-        assertThat(EngineLanes.split(engines)).isEqualTo(lanes);
+        assertThat(EnginePartition.split(engines)).isEqualTo(lanes);
     }
 
     @Test
     void anEngineThatGoesMovesFewOthers() {
         List<Backend> engines = engines(12);
-        List<Backend> before = EngineLanes.split(engines).shortPrompts();
-        engines.remove(EngineLanes.split(engines).longPrompts().get(0));
-        List<Backend> after = EngineLanes.split(engines).shortPrompts();
+        List<Backend> before = EnginePartition.split(engines).shortPrompts();
+        engines.remove(EnginePartition.split(engines).longPrompts().get(0));
+        List<Backend> after = EnginePartition.split(engines).shortPrompts();
         assertThat(after).containsAll(before);
     }
 
     @Test
     void twoEnginesTakeAllPrompts() {
-        EngineLanes lanes = EngineLanes.split(engines(2));
+        EnginePartition lanes = EnginePartition.split(engines(2));
         assertThat(lanes.shortPrompts()).isEqualTo(lanes.longPrompts());
     }
 
     @Test
     void chatsAreShortAndStudiesLong() {
-        assertThat(EngineLanes.isShort(ProxyFixtures.chat("s"))).isTrue();
-        assertThat(EngineLanes.isShort(ProxyFixtures.study("d"))).isFalse();
+        assertThat(EnginePartition.isShort(ProxyFixtures.chat("s"))).isTrue();
+        assertThat(EnginePartition.isShort(ProxyFixtures.study("d"))).isFalse();
     }
 
     private static List<Backend> engines(int number) {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/store/RecordTrailTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/store/RecentRecordsTest.java
@@ -3,16 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import org.cranberrygauge.proxy.store.RecordTrail.Part;
+import org.cranberrygauge.proxy.store.RecentRecords.Part;
 import org.junit.jupiter.api.Test;
 
-class RecordTrailTest {
+class RecentRecordsTest {
 
     private static final byte[] FIRST = {1};
 
     private static final byte[] SECOND = {2, 2};
 
-    private final RecordTrail trail = new RecordTrail();
+    private final RecentRecords trail = new RecentRecords();
 
     @Test
     void knowsNothingBeforeTheFirstRead() {
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/EventRing.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/EventRingBuffer.java
@@ -13,7 +13,7 @@
  * <p>Invariants: at most a fixed number of events is kept; an event that is written never waits. Safe for use by several
  * threads without locks.
  */
-public final class EventRing implements EventLog {
+public final class EventRingBuffer implements EventLog {
 
     /** The events, each at its number modulo the size. */
     private final AtomicReferenceArray<Kept> slots;
@@ -30,7 +30,7 @@
      * @param size The number of events that are kept.
      * @param wallMillis Tells the present time in milliseconds of the epoch.
      */
-    public EventRing(int size, LongSupplier wallMillis) {
+    public EventRingBuffer(int size, LongSupplier wallMillis) {
         this.slots = new AtomicReferenceArray<>(size);
         this.wallMillis = wallMillis;
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogEvents.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogEvents.java
@@ -1,6 +1,6 @@
 package org.cranberrygauge.runtime.log;
 
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
 import org.cranberrygauge.runtime.event.Event;
 
 /** The events of following the log. */
@@ -25,8 +25,8 @@
      * @param operator The operator.
      * @param verdict The verdict.
      */
-    public record ConfigurationJudged(
-            long offset, String changeId, String operator, ConfigurationMachine.Verdict verdict) implements Event {}
+    public record ConfigurationJudged(long offset, String changeId, String operator, ConfigurationState.Verdict verdict)
+            implements Event {}
 
     /**
      * A snapshot was begun.
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogFollower.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogFollower.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine;
-import org.cranberrygauge.decision.configuration.KeyRing;
+import org.cranberrygauge.decision.configuration.ConfigurationState;
+import org.cranberrygauge.decision.configuration.KeyIndex;
 import org.cranberrygauge.decision.snapshot.Snapshot;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.protocol.log.LogCodec;
 import org.cranberrygauge.protocol.platform.PlatformLog;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
-import org.cranberrygauge.runtime.blackboard.LogPosition;
-import org.cranberrygauge.runtime.blackboard.LogSections;
 import org.cranberrygauge.runtime.event.EventLog;
+import org.cranberrygauge.runtime.state.LogDerivedState;
+import org.cranberrygauge.runtime.state.LogPosition;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -52,7 +52,7 @@
     private final PlatformLog log;
 
     /** The blackboard. */
-    private final Blackboard blackboard;
+    private final ProcessState blackboard;
 
     /** The sources of time. */
     private final TimeSource time;
@@ -64,13 +64,13 @@
     private final LogState state = new LogState();
 
     /** Those that wait for effects. */
-    private final List<Consumer<Effect>> listeners = new CopyOnWriteArrayList<>();
+    private final List<Consumer<ApplyResult>> listeners = new CopyOnWriteArrayList<>();
 
     /** The newest entries, kept for peers; guarded by itself. */
     private final Deque<PlatformLog.StoredEntry> kept = new ArrayDeque<>();
 
     /** The index of keys of the configuration in force. */
-    private KeyRing keys = KeyRing.empty();
+    private KeyIndex keys = KeyIndex.empty();
 
     /** Whether it was told that no snapshot was found, and none was since. */
     private boolean missingTold;
@@ -87,7 +87,7 @@
      * @param time The sources of time.
      * @param events The event log.
      */
-    public LogFollower(Vertx vertx, PlatformLog log, Blackboard blackboard, TimeSource time, EventLog events) {
+    public LogFollower(Vertx vertx, PlatformLog log, ProcessState blackboard, TimeSource time, EventLog events) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.log = log;
@@ -101,7 +101,7 @@
      *
      * @param listener The listener.
      */
-    public void addListener(Consumer<Effect> listener) {
+    public void addListener(Consumer<ApplyResult> listener) {
         listeners.add(listener);
     }
 
@@ -238,12 +238,12 @@
         synchronized (kept) {
             kept.clear();
         }
-        ConfigurationMachine restored = state.configuration();
-        announce(new Effect.ChangeJudged(
+        ConfigurationState restored = state.configuration();
+        announce(new ApplyResult.ChangeResult(
                 restored.lastChangeId(),
                 restored.lastOperator(),
                 restored.current().version(),
-                ConfigurationMachine.Verdict.ACCEPTED));
+                ConfigurationState.Verdict.ACCEPTED));
         publish();
         readOnce();
     }
@@ -281,7 +281,7 @@
     private void apply(PlatformLog.StoredEntry entry) {
         keep(entry);
         try {
-            List<Effect> effects =
+            List<ApplyResult> effects =
                     state.apply(entry.offset(), entry.appendedAtMillis(), LogCodec.read(entry.payload()));
             effects.forEach(this::announce);
         } catch (CranberrygaugeException exception) {
@@ -295,10 +295,10 @@
      *
      * @param effect The effect.
      */
-    private void announce(Effect effect) {
-        if (effect instanceof Effect.ChangeJudged judged) {
-            if (judged.verdict() == ConfigurationMachine.Verdict.ACCEPTED) {
-                keys = KeyRing.of(state.configuration().current().configuration());
+    private void announce(ApplyResult effect) {
+        if (effect instanceof ApplyResult.ChangeResult judged) {
+            if (judged.verdict() == ConfigurationState.Verdict.ACCEPTED) {
+                keys = KeyIndex.of(state.configuration().current().configuration());
                 publish();
             }
             events.emit(new LogEvents.ConfigurationJudged(
@@ -310,7 +310,7 @@
     /** Publishes the sections. */
     private void publish() {
         blackboard.publish(
-                new LogSections(state.configuration(), keys, state.lease(), state.members(), state.drains()));
+                new LogDerivedState(state.configuration(), keys, state.lease(), state.members(), state.drains()));
         blackboard.publish(new LogPosition(state.offset(), blackboard.position().endReadAtMillis()));
     }
 
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/GatewayStatus.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/GatewayStatusClient.java
@@ -15,13 +15,13 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-public final class GatewayStatus {
+public final class GatewayStatusClient {
 
     /** The time after which a gateway is given up in milliseconds. */
     private static final int TIMEOUT_MILLIS = 1_000;
 
     /** Prevents instances. */
-    private GatewayStatus() {}
+    private GatewayStatusClient() {}
 
     /**
      * Asks a gateway for its report.
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/blackboard/LogPosition.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogPosition.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.runtime.blackboard;
+package org.cranberrygauge.runtime.state;
 
 /**
  * How far this process has read the log.
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/blackboard/Blackboard.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/ProcessState.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.runtime.blackboard;
+package org.cranberrygauge.runtime.state;
 
 import java.util.List;
 import java.util.Map;
@@ -15,10 +15,10 @@
  * position in the log, which only grows. Safe for use by
  * several threads without locks.
  */
-public final class Blackboard {
+public final class ProcessState {
 
     /** The sections that follow from the log. */
-    private final AtomicReference<LogSections> log = new AtomicReference<>(LogSections.initial());
+    private final AtomicReference<LogDerivedState> log = new AtomicReference<>(LogDerivedState.initial());
 
     /** How far the log is read. */
     private final AtomicReference<LogPosition> position;
@@ -34,7 +34,7 @@
      *
      * @param nowMillis The present monotonic time in milliseconds.
      */
-    public Blackboard(long nowMillis) {
+    public ProcessState(long nowMillis) {
         position = new AtomicReference<>(new LogPosition(0, nowMillis));
     }
 
@@ -43,7 +43,7 @@
      *
      * @return The sections.
      */
-    public LogSections log() {
+    public LogDerivedState log() {
         return log.get();
     }
 
@@ -61,7 +61,7 @@
      *
      * @param sections The sections.
      */
-    public void publish(LogSections sections) {
+    public void publish(LogDerivedState sections) {
         log.set(sections);
     }
 
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/blackboard/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/package-info.java
@@ -1,2 +1,2 @@
 /** The immutable sections that controllers read and write. */
-package org.cranberrygauge.runtime.blackboard;
+package org.cranberrygauge.runtime.state;
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/event/EventRingTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/event/EventRingBufferTest.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class EventRingTest {
+class EventRingBufferTest {
 
-    private final EventRing ring = new EventRing(3, () -> 42);
+    private final EventRingBuffer ring = new EventRingBuffer(3, () -> 42);
 
     @Test
     void the_events_of_a_request_are_found_in_their_order() {
         ring.emit(new Started("one", "engine-1"));
         ring.emit(new Started("two", "engine-1"));
         ring.emit(new Refused("one", "overloaded"));
-        assertThat(ring.about("one")).extracting(EventRing.Entry::event).containsExactly("started", "refused");
+        assertThat(ring.about("one")).extracting(EventRingBuffer.Entry::event).containsExactly("started", "refused");
         assertThat(ring.about("engine-1")).hasSize(2);
         assertThat(ring.about("one").get(1).fields()).containsEntry("reason", "overloaded");
     }
@@ -31,7 +31,7 @@
 
     @Test
     void a_compound_log_passes_each_event_to_all_parts() {
-        EventRing other = new EventRing(3, () -> 1);
+        EventRingBuffer other = new EventRingBuffer(3, () -> 1);
         new EventLog.Compound(List.of(ring, other)).emit(new Started("one", "engine-1"));
         assertThat(ring.about("one")).hasSize(1);
         assertThat(other.about("one")).hasSize(1);
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/log/SnapshotsTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/log/SnapshotsTest.java
@@ -20,8 +20,8 @@
 import org.cranberrygauge.model.record.UsageKey;
 import org.cranberrygauge.protocol.log.LogCodec;
 import org.cranberrygauge.protocol.platform.PlatformLog;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
+import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -75,7 +75,7 @@
         append(new LogRecord.GatewayJoined("late", "host-late", "d", "a:9"));
         log.subList(0, 5).clear();
         Vertx vertx = Vertx.vertx();
-        Blackboard blackboard = new Blackboard(0);
+        ProcessState blackboard = new ProcessState(0);
         CountDownLatch atEnd = new CountDownLatch(1);
         LogFollower follower =
                 new LogFollower(vertx, new KeptLog(atEnd), blackboard, TimeSource.System.INSTANCE, events);
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/tls/CertificateReloaderTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/tls/CertificateReloaderTest.java
@@ -21,7 +21,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.cranberrygauge.runtime.event.EventLog;
-import org.cranberrygauge.runtime.event.EventRing;
+import org.cranberrygauge.runtime.event.EventRingBuffer;
 import org.cranberrygauge.runtime.setting.SettingException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -36,7 +36,7 @@
 
     private final SelfSignedCertificate second = SelfSignedCertificate.create("localhost");
 
-    private final EventRing ring = new EventRing(8, () -> 1);
+    private final EventRingBuffer ring = new EventRingBuffer(8, () -> 1);
 
     private final Promise<HttpServerResponse> slow = Promise.promise();
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/BatchMeasures.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/BatchingBenchmark.java
@@ -16,7 +16,7 @@
  *
  * <p>Used by one thread.
  */
-final class BatchMeasures {
+final class BatchingBenchmark {
 
     /** The rates of records for one writer a second. */
     private static final int[] RATES = {2, 10, 50, 200, 1_000};
@@ -53,7 +53,7 @@
     private static double entriesPerSecond(int rate) {
         Vertx vertx = Vertx.vertx();
         try {
-            LogAppender appender = new LogAppender(vertx, new AnsweringLog(vertx), "host-1/1");
+            LogAppender appender = new LogAppender(vertx, new FixedDelayLog(vertx), "host-1/1");
             long start = System.nanoTime();
             long records = rate * RUN_MILLIS / (long) MILLIS_PER_SECOND;
             for (long number = 0; number < records; number++) {
@@ -61,7 +61,7 @@
                 while (System.nanoTime() < due) {
                     LockSupport.parkNanos(due - System.nanoTime());
                 }
-                appender.append(Population.reservation(number));
+                appender.append(SyntheticData.reservation(number));
             }
             while (appender.backlog() > 0) {
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
@@ -77,7 +77,7 @@
      *
      * <p>Safe for use by several threads.
      */
-    private static final class AnsweringLog implements PlatformLog {
+    private static final class FixedDelayLog implements PlatformLog {
 
         /** The Vert.x instance. */
         private final Vertx vertx;
@@ -90,7 +90,7 @@
          *
          * @param vertx The Vert.x instance.
          */
-        private AnsweringLog(Vertx vertx) {
+        private FixedDelayLog(Vertx vertx) {
             this.vertx = vertx;
         }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/CapacityCommand.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/CapacityCommand.java
@@ -97,15 +97,15 @@
     private static List<Slope> measure() throws TException, CranberrygaugeException {
         Meter meter = new Meter();
         List<Slope> slopes = new ArrayList<>();
-        slopes.addAll(new LogMeasures(meter).measure());
+        slopes.addAll(new LogBenchmark(meter).measure());
         System.err.println("bench capacity: log measured");
-        slopes.addAll(new ConfigurationMeasures(meter).measure());
+        slopes.addAll(new ConfigurationBenchmark(meter).measure());
         System.err.println("bench capacity: configuration measured");
-        slopes.addAll(new ExchangeMeasures(meter).measure());
+        slopes.addAll(new ExchangeBenchmark(meter).measure());
         System.err.println("bench capacity: exchange and routing measured");
-        slopes.addAll(new MetricsMeasures(meter).measure());
+        slopes.addAll(new MetricsBenchmark(meter).measure());
         System.err.println("bench capacity: metrics measured");
-        slopes.addAll(new BatchMeasures().measure());
+        slopes.addAll(new BatchingBenchmark().measure());
         return slopes;
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ConfigurationMeasures.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ConfigurationBenchmark.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.cranberrygauge.decision.configuration.KeyRing;
+import org.cranberrygauge.decision.configuration.KeyIndex;
 import org.cranberrygauge.decision.edit.ConfigurationEdit;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.configuration.Configuration;
@@ -19,7 +19,7 @@
  *
  * <p>Used by one thread.
  */
-final class ConfigurationMeasures {
+final class ConfigurationBenchmark {
 
     /** The numbers of customers. */
     private static final int[] CUSTOMERS = {10, 50, 100, 200, 400, 670};
@@ -44,7 +44,7 @@
      *
      * @param meter The meter.
      */
-    ConfigurationMeasures(Meter meter) {
+    ConfigurationBenchmark(Meter meter) {
         this.meter = meter;
     }
 
@@ -76,11 +76,11 @@
         List<Sample> memory = new ArrayList<>();
         for (int size : sizes) {
             Configuration configuration = customers
-                    ? Population.configuration(size, FEW_SERVERS)
-                    : Population.configuration(FEW_CUSTOMERS, size);
+                    ? SyntheticData.configuration(size, FEW_SERVERS)
+                    : SyntheticData.configuration(FEW_CUSTOMERS, size);
             String payload = LogCodec.write(new LogEntry(
                     "operator:cli/1", 1, List.of(new LogRecord.ConfigurationChange("c", "cli", 0, configuration))));
-            bytes.add(new Sample(size, LogMeasures.length(payload)));
+            bytes.add(new Sample(size, LogBenchmark.length(payload)));
             micros.add(new Sample(size, meter.micros(() -> follow(payload))));
             memory.add(new Sample(size, meter.bytes(copies -> copies(payload, copies), COPIES) / COPIES));
         }
@@ -98,10 +98,10 @@
         List<Sample> build = new ArrayList<>();
         List<Sample> check = new ArrayList<>();
         for (int size : CUSTOMERS) {
-            Configuration configuration = Population.configuration(size, FEW_SERVERS);
-            KeyRing ring = KeyRing.of(configuration);
-            String key = Population.key(size / 2);
-            build.add(new Sample(size, meter.micros(() -> KeyRing.of(configuration))));
+            Configuration configuration = SyntheticData.configuration(size, FEW_SERVERS);
+            KeyIndex ring = KeyIndex.of(configuration);
+            String key = SyntheticData.key(size / 2);
+            build.add(new Sample(size, meter.micros(() -> KeyIndex.of(configuration))));
             check.add(new Sample(size, meter.micros(() -> ring.owner(KeyDigest.of(key)))));
         }
         slopes.add(Slope.of("key index build", "customers", "microseconds", build));
@@ -117,10 +117,10 @@
         List<Sample> bytes = new ArrayList<>();
         List<Sample> micros = new ArrayList<>();
         for (int size : CUSTOMERS) {
-            Configuration configuration = Population.configuration(size, FEW_SERVERS);
+            Configuration configuration = SyntheticData.configuration(size, FEW_SERVERS);
             ConfigurationEdit edit = new ConfigurationEdit.PutCustomer(
-                    ConfigurationEdit.Mode.CHANGE, Population.customer(size / 2, Set.of("class-0")));
-            bytes.add(new Sample(size, LogMeasures.length(JsonCodec.write(edit))));
+                    ConfigurationEdit.Mode.CHANGE, SyntheticData.customer(size / 2, Set.of("class-0")));
+            bytes.add(new Sample(size, LogBenchmark.length(JsonCodec.write(edit))));
             micros.add(new Sample(size, meter.micros(() -> applied(edit, configuration))));
         }
         slopes.add(Slope.of("edit bytes", "customers", "bytes", bytes));
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ExchangeMeasures.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ExchangeBenchmark.java
@@ -12,23 +12,23 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 import org.cranberrygauge.decision.membership.PeerReport;
 import org.cranberrygauge.decision.routing.BackendTable;
-import org.cranberrygauge.decision.routing.SpeedRule;
+import org.cranberrygauge.decision.routing.OutlierDetection;
 import org.cranberrygauge.decision.share.SlotDivision;
 import org.cranberrygauge.decision.topology.ControlNode;
 import org.cranberrygauge.decision.topology.ExchangePlan;
-import org.cranberrygauge.gateway.schedule.BackendBoard;
+import org.cranberrygauge.gateway.schedule.BackendTableUpdater;
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
 import org.cranberrygauge.protocol.generated.GatewayReport;
-import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Measures the exchange of reports between many nodes in one process, by Thrift, without sockets.
  *
  * <p>A message counts where it is sent and where it is taken in, as a node pays for both. Used by one thread.
  */
-final class ExchangeMeasures {
+final class ExchangeBenchmark {
 
     /** The numbers of nodes. */
     static final int[] NODES = {4, 8, 16, 32, 64};
@@ -63,7 +63,7 @@
      * @param meter The meter.
      * @throws TException If the codec can't be set up.
      */
-    ExchangeMeasures(Meter meter) throws TException {
+    ExchangeBenchmark(Meter meter) throws TException {
         this.meter = meter;
         this.serializer = new TSerializer(new TCompactProtocol.Factory());
         this.deserializer = new TDeserializer(new TCompactProtocol.Factory());
@@ -93,7 +93,7 @@
      */
     static List<ControlNode> nodes(int count) {
         return IntStream.range(0, count)
-                .mapToObj(number -> new ControlNode("host-" + number, "centre-" + number % Population.DATA_CENTRES))
+                .mapToObj(number -> new ControlNode("host-" + number, "centre-" + number % SyntheticData.DATA_CENTRES))
                 .toList();
     }
 
@@ -128,7 +128,7 @@
         List<Sample> messages = new ArrayList<>();
         List<Sample> bytes = new ArrayList<>();
         List<Sample> micros = new ArrayList<>();
-        GatewayReport report = Population.report(1, servers);
+        GatewayReport report = SyntheticData.report(1, servers);
         byte[] wire = serializer.serialize(report);
         for (int count : NODES) {
             int number = messages(plan, nodes(count));
@@ -173,7 +173,7 @@
     private void reports(List<Slope> slopes) throws TException {
         List<Sample> bytes = new ArrayList<>();
         for (int servers : SERVERS) {
-            bytes.add(new Sample(servers, serializer.serialize(Population.report(1, servers)).length));
+            bytes.add(new Sample(servers, serializer.serialize(SyntheticData.report(1, servers)).length));
         }
         slopes.add(Slope.of("report bytes", "backend servers in use", "bytes", bytes));
     }
@@ -186,14 +186,14 @@
     private void routing(List<Slope> slopes) {
         List<Sample> refresh = new ArrayList<>();
         for (int servers : SERVERS) {
-            BackendBoard board = board(servers, 0);
+            BackendTableUpdater board = board(servers, 0);
             BackendTable table = table();
             refresh.add(new Sample(servers, meter.micros(() -> refreshed(board, table))));
         }
         slopes.add(Slope.of("routing view refresh by backend servers", "backend servers", "microseconds", refresh));
         List<Sample> peers = new ArrayList<>();
         for (int count : PEERS) {
-            BackendBoard board = board(SERVERS_IN_USE, count);
+            BackendTableUpdater board = board(SERVERS_IN_USE, count);
             BackendTable table = table();
             peers.add(new Sample(count, meter.micros(() -> refreshed(board, table))));
         }
@@ -222,10 +222,10 @@
      * @param peers The number of peers.
      * @return The board.
      */
-    private static BackendBoard board(int servers, int peers) {
-        Blackboard blackboard = new Blackboard(0);
+    private static BackendTableUpdater board(int servers, int peers) {
+        ProcessState blackboard = new ProcessState(0);
         blackboard.publish(IntStream.range(0, servers)
-                .mapToObj(Population::server)
+                .mapToObj(SyntheticData::server)
                 .map(server -> new BackendServer(
                         server.name(),
                         server.address(),
@@ -238,10 +238,10 @@
                 .map(server -> new ListedBackendServer(server, HostState.LIVE, ""))
                 .toList());
         for (int peer = 0; peer < peers; peer++) {
-            PeerReport report = peerReport(Population.report(peer, Math.min(servers, SERVERS_IN_USE)));
+            PeerReport report = peerReport(SyntheticData.report(peer, Math.min(servers, SERVERS_IN_USE)));
             blackboard.peers().put("host-" + peer, report);
         }
-        return new BackendBoard(blackboard, "host-self");
+        return new BackendTableUpdater(blackboard, "host-self");
     }
 
     /**
@@ -250,7 +250,7 @@
      * @return The table.
      */
     private static BackendTable table() {
-        return new BackendTable(SlotDivision.DemandShare.INSTANCE, SpeedRule.PEERS);
+        return new BackendTable(SlotDivision.DemandShare.INSTANCE, OutlierDetection.PEERS);
     }
 
     /**
@@ -260,7 +260,7 @@
      * @param table The table.
      * @return The table.
      */
-    private static Object refreshed(BackendBoard board, BackendTable table) {
+    private static Object refreshed(BackendTableUpdater board, BackendTable table) {
         board.refresh(1, table, 0);
         return table;
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/FailureModel.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/FailureModel.java
@@ -21,7 +21,7 @@
     private static final int RESTARTS_PER_DAY = 7 + 240;
 
     /** The share of the data centres that lie in the smaller region. */
-    private static final double SMALLER_REGION = 3.0 / Population.DATA_CENTRES;
+    private static final double SMALLER_REGION = 3.0 / SyntheticData.DATA_CENTRES;
 
     /** Takes the estimates. */
     private final EstimateTable table;
@@ -38,7 +38,7 @@
     /** Adds all estimates. */
     void add() {
         table.role("failures");
-        List<ControlNode> nodes = ExchangeMeasures.nodes(TargetSize.NODES);
+        List<ControlNode> nodes = ExchangeBenchmark.nodes(TargetSize.NODES);
         table.figure("join and leave records", 2.0 * RESTARTS_PER_DAY, "records/day", "7 failures and 240 restarts");
         table.figure(
                 "nodes that change cell when a host is lost", moved(nodes, 1), "nodes", "mean of 30 losses, computed");
@@ -87,7 +87,7 @@
         for (int round = 0; round < rounds; round++) {
             List<ControlNode> rest = new ArrayList<>(nodes);
             for (int number = 0; number < lost; number++) {
-                int host = (round + number * Population.DATA_CENTRES) % nodes.size();
+                int host = (round + number * SyntheticData.DATA_CENTRES) % nodes.size();
                 rest.remove(nodes.get(host));
             }
             sum += changed(nodes, rest);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogMeasures.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogBenchmark.java
@@ -17,7 +17,7 @@
  *
  * <p>Used by one thread.
  */
-final class LogMeasures {
+final class LogBenchmark {
 
     /** The numbers of records in an entry. */
     private static final int[] BATCHES = {1, 4, 16, 64, 256};
@@ -45,7 +45,7 @@
      *
      * @param meter The meter.
      */
-    LogMeasures(Meter meter) {
+    LogBenchmark(Meter meter) {
         this.meter = meter;
     }
 
@@ -57,11 +57,11 @@
      */
     List<Slope> measure() throws CranberrygaugeException {
         List<Slope> slopes = new ArrayList<>();
-        record("reservation", Population::reservation, slopes);
-        record("reservation outcome", Population::outcome, slopes);
-        record("lease claim", LogMeasures::claim, slopes);
-        record("order intent", LogMeasures::intent, slopes);
-        record("gateway join", LogMeasures::join, slopes);
+        record("reservation", SyntheticData::reservation, slopes);
+        record("reservation outcome", SyntheticData::outcome, slopes);
+        record("lease claim", LogBenchmark::claim, slopes);
+        record("order intent", LogBenchmark::intent, slopes);
+        record("gateway join", LogBenchmark::join, slopes);
         usage(slopes);
         memory(slopes);
         return slopes;
@@ -81,7 +81,7 @@
         for (int batch : BATCHES) {
             List<String> payloads = new ArrayList<>();
             for (int entry = 0; entry < ENTRIES; entry++) {
-                List<LogRecord> records = Population.records((long) entry * batch, batch, kind);
+                List<LogRecord> records = SyntheticData.records((long) entry * batch, batch, kind);
                 payloads.add(LogCodec.write(new LogEntry("host-1/1796330000000-4242", entry + 1, records)));
             }
             bytes.add(new Sample(batch, length(payloads.get(ENTRIES - 1))));
@@ -103,7 +103,7 @@
         for (int pairs : new int[] {8, 64, 256, 1_024, 5_360}) {
             List<String> payloads = new ArrayList<>();
             for (int entry = 0; entry < ENTRIES; entry++) {
-                List<LogRecord> records = List.of(Population.usage(1, entry + 1, pairs));
+                List<LogRecord> records = List.of(SyntheticData.usage(1, entry + 1, pairs));
                 payloads.add(LogCodec.write(new LogEntry("host-1/1796330000000-4242", entry + 1, records)));
             }
             bytes.add(new Sample(pairs, length(payloads.get(ENTRIES - 1))));
@@ -121,12 +121,12 @@
     private void memory(List<Slope> slopes) {
         List<Sample> reservations = new ArrayList<>();
         for (int count : RESERVATIONS) {
-            reservations.add(new Sample(count, meter.bytes(LogMeasures::reservations, count)));
+            reservations.add(new Sample(count, meter.bytes(LogBenchmark::reservations, count)));
         }
         slopes.add(Slope.of("memory: reservations", "reservations kept", "bytes", reservations));
         List<Sample> usage = new ArrayList<>();
         for (int count : GATEWAYS) {
-            usage.add(new Sample((double) count * PAIRS, meter.bytes(LogMeasures::ledger, count)));
+            usage.add(new Sample((double) count * PAIRS, meter.bytes(LogBenchmark::ledger, count)));
         }
         slopes.add(Slope.of("memory: usage ledger", "gateways times pairs", "bytes", usage));
     }
@@ -158,8 +158,8 @@
     private static Object reservations(int count) {
         Reservations reservations = new Reservations();
         for (int number = 0; number < count; number++) {
-            reservations.reserve(number + 1L, number, (LogRecord.Reservation) Population.reservation(number));
-            reservations.record((LogRecord.ReservationOutcome) Population.outcome(number));
+            reservations.reserve(number + 1L, number, (LogRecord.Reservation) SyntheticData.reservation(number));
+            reservations.record((LogRecord.ReservationOutcome) SyntheticData.outcome(number));
         }
         return reservations;
     }
@@ -173,7 +173,7 @@
     private static Object ledger(int gateways) {
         UsageLedger ledger = new UsageLedger();
         for (int gateway = 0; gateway < gateways; gateway++) {
-            ledger.apply(gateway, Population.usage(gateway, 1, PAIRS));
+            ledger.apply(gateway, SyntheticData.usage(gateway, 1, PAIRS));
         }
         return ledger;
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogRoles.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogRoleEstimator.java
@@ -5,7 +5,7 @@
  *
  * <p>Used by one thread.
  */
-final class LogRoles {
+final class LogRoleEstimator {
 
     /** The usage deltas of one gateway a second. */
     private static final double DELTAS_PER_SECOND = 1;
@@ -41,7 +41,7 @@
      * @param table Takes the estimates.
      * @param cells The number of cells.
      */
-    LogRoles(SlopeTable slopes, EstimateTable table, int cells) {
+    LogRoleEstimator(SlopeTable slopes, EstimateTable table, int cells) {
         this.slopes = slopes;
         this.table = table;
         this.cells = cells;
@@ -102,10 +102,10 @@
         table.needed("appends, " + cells + " writers", appends(cells, records), Budget.APPENDS, "one writer a cell");
         table.needed(
                 "appends, 7 writers",
-                appends(Population.DATA_CENTRES, records),
+                appends(SyntheticData.DATA_CENTRES, records),
                 Budget.APPENDS,
                 "one writer a data centre; gathers 5 ms");
-        double gathered = Population.DATA_CENTRES * TargetSize.MILLIS_PER_SECOND / GATHER_MILLIS;
+        double gathered = SyntheticData.DATA_CENTRES * TargetSize.MILLIS_PER_SECOND / GATHER_MILLIS;
         table.needed(
                         "appends, 7 writers that gather 50 ms",
                         gathered,
@@ -172,7 +172,7 @@
         double all = TargetSize.NODES * TargetSize.PAIRS;
         table.today("memory", memory.at(all), Budget.MEMORY, "330 gateways times 5360 pairs, if each pair meets each")
                 .extrapolated(true);
-        double summed = Population.DATA_CENTRES * TargetSize.PAIRS;
+        double summed = SyntheticData.DATA_CENTRES * TargetSize.PAIRS;
         table.needed("memory", memory.at(summed), Budget.MEMORY, "7 writers that sum up, times 5360 pairs")
                 .extrapolated(memory.isExtrapolated(summed))
                 .counted();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/MetricsMeasures.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/MetricsBenchmark.java
@@ -11,7 +11,7 @@
  *
  * <p>Used by one thread.
  */
-final class MetricsMeasures {
+final class MetricsBenchmark {
 
     /** The numbers of customers, each in all classes. */
     private static final int[] CUSTOMERS = {10, 50, 100, 200, 400, 670};
@@ -27,7 +27,7 @@
      *
      * @param meter The meter.
      */
-    MetricsMeasures(Meter meter) {
+    MetricsBenchmark(Meter meter) {
         this.meter = meter;
     }
 
@@ -43,8 +43,8 @@
         List<Sample> token = new ArrayList<>();
         List<Sample> compressed = new ArrayList<>();
         for (int customers : CUSTOMERS) {
-            double pairs = (double) customers * Population.CLASSES;
-            memory.add(new Sample(pairs, meter.bytes(MetricsMeasures::registry, customers)));
+            double pairs = (double) customers * SyntheticData.CLASSES;
+            memory.add(new Sample(pairs, meter.bytes(MetricsBenchmark::registry, customers)));
             PrometheusRegistry registry = registry(customers);
             bytes.add(new Sample(pairs, scrape(registry, false)));
             compressed.add(new Sample(pairs, scrape(registry, true)));
@@ -82,7 +82,7 @@
      */
     private static void fill(GatewayMetrics metrics, int customers) {
         for (int customer = 0; customer < customers; customer++) {
-            for (int tier = 0; tier < Population.CLASSES; tier++) {
+            for (int tier = 0; tier < SyntheticData.CLASSES; tier++) {
                 String name = "customer-" + customer;
                 String className = "class-" + tier;
                 metrics.firstToken(name, className, OBSERVED_MILLIS);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/NodeRoles.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/NodeRoleEstimator.java
@@ -9,7 +9,7 @@
  *
  * <p>Used by one thread.
  */
-final class NodeRoles {
+final class NodeRoleEstimator {
 
     /** The rounds of exchange a second today. */
     private static final double ROUNDS_TODAY = 4;
@@ -47,7 +47,7 @@
      * @param slopes The slopes.
      * @param table Takes the estimates.
      */
-    NodeRoles(SlopeTable slopes, EstimateTable table) {
+    NodeRoleEstimator(SlopeTable slopes, EstimateTable table) {
         this.slopes = slopes;
         this.table = table;
     }
@@ -86,7 +86,7 @@
                         Budget.WORK,
                         "4848 tokens/s a node")
                 .counted();
-        double few = (double) TargetSize.CUSTOMERS + Population.CLASSES;
+        double few = (double) TargetSize.CUSTOMERS + SyntheticData.CLASSES;
         table.needed(
                         "memory",
                         slopes.at("memory: metrics", few),
@@ -155,9 +155,9 @@
      */
     private void exchange(String name, ExchangePlan plan, boolean today) {
         table.role("peers' exchange");
-        List<ControlNode> nodes = ExchangeMeasures.nodes(TargetSize.NODES);
+        List<ControlNode> nodes = ExchangeBenchmark.nodes(TargetSize.NODES);
         double rounds = today ? ROUNDS_TODAY : ROUNDS_IN_CELLS;
-        double messages = rounds * ExchangeMeasures.messages(plan, nodes);
+        double messages = rounds * ExchangeBenchmark.messages(plan, nodes);
         String numbers = "exchange messages a round: " + name;
         double traffic = messages * slopes.perMessage("exchange bytes a round: " + name, numbers);
         double work = messages * slopes.perMessage("exchange work a round: " + name, numbers);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Population.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/SyntheticData.java
@@ -33,7 +33,7 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-final class Population {
+final class SyntheticData {
 
     /** The number of tiers and classes. */
     static final int CLASSES = 8;
@@ -57,7 +57,7 @@
     private static final double SHARE = 0.1;
 
     /** Prevents instances. */
-    private Population() {}
+    private SyntheticData() {}
 
     /**
      * Makes a configuration that passes its checks.
@@ -70,7 +70,7 @@
         Set<String> classNames = new TreeSet<>();
         IntStream.range(0, CLASSES).forEach(tier -> classNames.add("class-" + tier));
         return named().withDataCentres(
-                        range(DATA_CENTRES).map(Population::dataCentre).toList())
+                        range(DATA_CENTRES).map(SyntheticData::dataCentre).toList())
                 .withModels(range(MODELS).map(model -> "model-" + model).toList())
                 .withClasses(range(CLASSES)
                         .map(tier -> new ServiceClass("class-" + tier, tier, SHARE, 1_400, 31, 5_000, 500))
@@ -78,7 +78,7 @@
                 .withCustomers(range(customers)
                         .map(number -> customer(number, classNames))
                         .toList())
-                .withBackendServers(range(servers).map(Population::server).toList())
+                .withBackendServers(range(servers).map(SyntheticData::server).toList())
                 .withFleet(range(DATA_CENTRES)
                         .map(number -> new FleetPool("centre-" + number, "model-0", Supply.CHEAP, 0, 20, 1.2))
                         .toList())
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetModel.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetModel.java
@@ -23,11 +23,11 @@
         SlopeTable slopes = new SlopeTable(measured);
         EstimateTable table = new EstimateTable();
         int cells = ExchangePlan.Cells.standard()
-                .cells(ExchangeMeasures.nodes(TargetSize.NODES))
+                .cells(ExchangeBenchmark.nodes(TargetSize.NODES))
                 .size();
-        NodeRoles nodes = new NodeRoles(slopes, table);
+        NodeRoleEstimator nodes = new NodeRoleEstimator(slopes, table);
         nodes.add();
-        new LogRoles(slopes, table, cells).add();
+        new LogRoleEstimator(slopes, table, cells).add();
         nodes.addMetrics();
         table.sums();
         new FailureModel(table).add();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetSize.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetSize.java
@@ -17,7 +17,7 @@
     static final int CUSTOMERS = 670;
 
     /** The pairs of customer and class. */
-    static final double PAIRS = (double) CUSTOMERS * Population.CLASSES;
+    static final double PAIRS = (double) CUSTOMERS * SyntheticData.CLASSES;
 
     /** The requests a second of the whole system. */
     static final double REQUESTS_PER_SECOND = 7_700;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/AtMostOnceScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/AtMostOnceScenario.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.cranberrygauge.decision.reservation.ReservationVerdict;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.reservation.ReservationDecision;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.model.record.LogRecord.Disposition;
 import org.cranberrygauge.model.record.LogRecord.Reservation;
 import org.cranberrygauge.model.record.LogRecord.ReservationOutcome;
@@ -53,7 +53,7 @@
     private final List<String> toldNotRun = new ArrayList<>();
 
     /** The world. */
-    private World world;
+    private SimulationContext world;
 
     /** The number of attempts so far. */
     private int attempts;
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public List<Finding> run(World present) {
+    public List<Finding> run(SimulationContext present) {
         world = present;
         gateways.add(new Gateway("gateway-0"));
         gateways.add(new Gateway("gateway-1"));
@@ -292,8 +292,9 @@
          *
          * @param effect The effect.
          */
-        private void onEffect(Effect effect) {
-            if (effect instanceof Effect.ReservationJudged judged && waiting.remove(judged.reservationId()) != null) {
+        private void onEffect(ApplyResult effect) {
+            if (effect instanceof ApplyResult.ReservationResult judged
+                    && waiting.remove(judged.reservationId()) != null) {
                 judged(judged.reservationId(), judged.verdict());
             }
         }
@@ -304,10 +305,10 @@
          * @param attempt The attempt.
          * @param verdict The verdict.
          */
-        private void judged(String attempt, ReservationVerdict verdict) {
-            if (verdict == ReservationVerdict.Won.INSTANCE) {
+        private void judged(String attempt, ReservationDecision verdict) {
+            if (verdict == ReservationDecision.Won.INSTANCE) {
                 dispatch(attempt);
-            } else if (verdict instanceof ReservationVerdict.Answered answered) {
+            } else if (verdict instanceof ReservationDecision.Answered answered) {
                 reply(attempt, answered.outcome().body(), false);
             } else {
                 reply(attempt, null, false);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Cell.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Cell.java
@@ -12,7 +12,7 @@
  * @param injections The faults with their steps.
  * @param seed The seed of message times.
  */
-record Cell(Protocol protocol, List<Injection> injections, long seed) {
+record Cell(Protocol protocol, List<FaultInjection> injections, long seed) {
 
     /** Copies the list. */
     Cell {
@@ -28,7 +28,7 @@
         List<Cell> cells = new ArrayList<>();
         for (Protocol protocol : Protocol.values()) {
             cells.add(new Cell(protocol, List.of(), 0));
-            for (Injection injection : injections(protocol)) {
+            for (FaultInjection injection : injections(protocol)) {
                 cells.add(new Cell(protocol, List.of(injection), 0));
             }
         }
@@ -44,11 +44,11 @@
     static List<Cell> pairs(int seeds) {
         List<Cell> cells = new ArrayList<>();
         for (Protocol protocol : Protocol.values()) {
-            List<Injection> all = injections(protocol);
+            List<FaultInjection> all = injections(protocol);
             for (int seed = 1; seed <= seeds; seed++) {
                 Random random = new Random(seed);
-                Injection first = all.get(random.nextInt(all.size()));
-                Injection second = all.get(random.nextInt(all.size()));
+                FaultInjection first = all.get(random.nextInt(all.size()));
+                FaultInjection second = all.get(random.nextInt(all.size()));
                 cells.add(new Cell(protocol, List.of(first, second), seed));
             }
         }
@@ -62,7 +62,7 @@
      * @return What it showed.
      */
     CellResult run(Set<Mechanism> off) {
-        World world = new World(injections, off, seed);
+        SimulationContext world = new SimulationContext(injections, off, seed);
         Scenario scenario = protocol.scenario();
         List<Finding> findings = scenario.run(world);
         return new CellResult(
@@ -79,12 +79,12 @@
      * @param protocol The protocol.
      * @return The injections.
      */
-    private static List<Injection> injections(Protocol protocol) {
-        List<Injection> injections = new ArrayList<>();
+    private static List<FaultInjection> injections(Protocol protocol) {
+        List<FaultInjection> injections = new ArrayList<>();
         for (Step step : protocol.scenario().steps()) {
             for (Fault fault : Fault.values()) {
-                injections.add(new Injection(fault, step, false));
-                injections.add(new Injection(fault, step, true));
+                injections.add(new FaultInjection(fault, step, false));
+                injections.add(new FaultInjection(fault, step, true));
             }
         }
         return injections;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/ConfigurationScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/ConfigurationScenario.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.cranberrygauge.decision.configuration.ConfigurationMachine.Verdict;
-import org.cranberrygauge.decision.configuration.KeyRing;
+import org.cranberrygauge.decision.configuration.ConfigurationState.Verdict;
+import org.cranberrygauge.decision.configuration.KeyIndex;
 import org.cranberrygauge.decision.membership.AdmissionFreshness;
 import org.cranberrygauge.decision.membership.PeerReport;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.customer.Customer;
 import org.cranberrygauge.model.customer.CustomerKey;
@@ -55,7 +55,7 @@
     private final Set<String> effective = new HashSet<>();
 
     /** The world. */
-    private World world;
+    private SimulationContext world;
 
     /** The operator. */
     private SimulatedProcess operator;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public List<Finding> run(World present) {
+    public List<Finding> run(SimulationContext present) {
         world = present;
         operator = world.process("operator");
         operatorLog = new LogClient(world, operator, this::onEffect);
@@ -135,7 +135,7 @@
             Configuration last = gateway.log.state().configuration().current().configuration();
             versions.add(gateway.log.state().configuration().current().version());
             lost |= effective.contains("withdraw")
-                    && KeyRing.of(last).owner(KEY).isPresent();
+                    && KeyIndex.of(last).owner(KEY).isPresent();
             lost |= effective.contains("race") && last.customer("race").isEmpty();
         }
         String counted = "in force " + effective + ", accepted " + accepted + ", versions " + versions
@@ -211,8 +211,8 @@
      *
      * @param effect The effect.
      */
-    private void onEffect(Effect effect) {
-        if (!(effect instanceof Effect.ChangeJudged judged) || judged.verdict() != Verdict.ACCEPTED) {
+    private void onEffect(ApplyResult effect) {
+        if (!(effect instanceof ApplyResult.ChangeResult judged) || judged.verdict() != Verdict.ACCEPTED) {
             return;
         }
         effective.add(judged.changeId());
@@ -323,7 +323,7 @@
 
         /** Takes a request that comes with the key. */
         private void request() {
-            boolean known = KeyRing.of(log.state().configuration().current().configuration())
+            boolean known = KeyIndex.of(log.state().configuration().current().configuration())
                     .owner(KEY)
                     .isPresent();
             if (!known || !rule().mayAdmit(world.now(), view())) {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.cranberrygauge.decision.drain.DrainRegister;
+import org.cranberrygauge.decision.drain.DrainState;
 import org.cranberrygauge.decision.membership.AdmissionFreshness;
 import org.cranberrygauge.model.record.LogRecord;
 
@@ -42,7 +42,7 @@
     private final List<Gateway> gateways = new ArrayList<>();
 
     /** The world. */
-    private World world;
+    private SimulationContext world;
 
     /** The process that empties the backend server. */
     private SimulatedProcess controller;
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public List<Finding> run(World present) {
+    public List<Finding> run(SimulationContext present) {
         world = present;
         controller = world.process("controller");
         log = new LogClient(world, controller, effect -> {});
@@ -88,7 +88,7 @@
                     evicted = true;
                     running = 0;
                 },
-                () -> operatorLog.append(new LogRecord.DrainEnded("drain", DrainRegister.OPERATOR)),
+                () -> operatorLog.append(new LogRecord.DrainEnded("drain", DrainState.OPERATOR)),
                 process -> {});
         controller.run(DRAIN_AT_MILLIS - world.now(), () -> world.step(controller, Step.DRAIN_START, this::start));
         world.timeline().runUntil(RUN_MILLIS);
@@ -102,7 +102,7 @@
 
     /** Writes the drain to the log. */
     private void start() {
-        log.append(new LogRecord.DrainStarted("drain", DrainRegister.OPERATOR, Set.of(SERVER), "cleaning"));
+        log.append(new LogRecord.DrainStarted("drain", DrainState.OPERATOR, Set.of(SERVER), "cleaning"));
         controller.run(ROUND_MILLIS, () -> world.step(controller, Step.DRAIN_WAIT, this::await));
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FakeLog.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FakeLog.java
@@ -13,7 +13,7 @@
 final class FakeLog {
 
     /** The clock. */
-    private final Timeline timeline;
+    private final VirtualScheduler timeline;
 
     /** The entries. */
     private final List<Stored> entries = new ArrayList<>();
@@ -26,7 +26,7 @@
      *
      * @param timeline The clock.
      */
-    FakeLog(Timeline timeline) {
+    FakeLog(VirtualScheduler timeline) {
         this.timeline = timeline;
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Injection.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultInjection.java
@@ -7,7 +7,7 @@
  * @param step The step, when it is first reached.
  * @param after Whether the fault comes right after the step rather than right before.
  */
-record Injection(Fault fault, Step step, boolean after) {
+record FaultInjection(Fault fault, Step step, boolean after) {
 
     @Override
     public String toString() {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultMatrixPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultMatrixPage.java
@@ -55,10 +55,11 @@
                 "and the work was refused, late, lost with its host, or of unknown outcome. *Failed*: it was broken. *Not reached*:");
         line("the runs among them in which a fault found no step to strike.");
         line("");
-        line("Faults: kill; freeze for " + World.FREEZE_MILLIS + " ms; cut off for " + World.OUTAGE_MILLIS
-                + " ms; message late by " + World.SLOW_MILLIS + " ms; answer lost; message delivered twice; answer");
-        line("of another; log down for " + World.OUTAGE_MILLIS + " ms; data centre evicted; second operator. Lease "
-                + LeaseHolder.LEASE_MILLIS + " ms.");
+        line("Faults: kill; freeze for " + SimulationContext.FREEZE_MILLIS + " ms; cut off for "
+                + SimulationContext.OUTAGE_MILLIS + " ms; message late by " + SimulationContext.SLOW_MILLIS
+                + " ms; answer lost; message delivered twice; answer");
+        line("of another; log down for " + SimulationContext.OUTAGE_MILLIS
+                + " ms; data centre evicted; second operator. Lease " + LeaseHolder.LEASE_MILLIS + " ms.");
         line("");
         table("One fault", singles);
         table("Two faults, " + seeds + " seeds for each protocol", pairs);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessPage.java
@@ -34,14 +34,17 @@
      * @param depth The highest number of events.
      * @return What each rule did, in the order of the rules.
      */
-    static List<FreshnessHarm> search(List<NetworkCut> cuts, FreshnessSearch.Declaration declaration, int depth) {
-        List<List<FreshnessHarm>> found = cuts.parallelStream()
+    static List<FreshnessRuleResult> search(
+            List<NetworkPartition> cuts, FreshnessSearch.Declaration declaration, int depth) {
+        List<List<FreshnessRuleResult>> found = cuts.parallelStream()
                 .map(cut -> new FreshnessSearch(cut, declaration, depth).run())
                 .toList();
-        List<FreshnessHarm> sums = new ArrayList<>();
+        List<FreshnessRuleResult> sums = new ArrayList<>();
         for (int rule = 0; rule < FreshnessSearch.RULES.size(); rule++) {
             int index = rule;
-            sums.add(found.stream().map(harms -> harms.get(index)).reduce(FreshnessHarm.none(), FreshnessHarm::plus));
+            sums.add(found.stream()
+                    .map(harms -> harms.get(index))
+                    .reduce(FreshnessRuleResult.none(), FreshnessRuleResult::plus));
         }
         return sums;
     }
@@ -75,9 +78,9 @@
                         "| a gateway is declared gone | rule | states | admitted by a withdrawn key | refused without need |")
                 .append(" of harmless | all of several refuse without need |\n|---|---|---:|---:|---:|---:|---:|\n");
         for (FreshnessSearch.Declaration declaration : FreshnessSearch.Declaration.values()) {
-            List<FreshnessHarm> harms = search(NetworkCut.all(), declaration, depth);
+            List<FreshnessRuleResult> harms = search(NetworkPartition.all(), declaration, depth);
             for (int rule = 0; rule < harms.size(); rule++) {
-                FreshnessHarm harm = harms.get(rule);
+                FreshnessRuleResult harm = harms.get(rule);
                 text.append("| ")
                         .append(declaration.text())
                         .append(" | ")
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessHarm.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessRuleResult.java
@@ -11,7 +11,7 @@
  * @param stops The number of states in which all that run refuse, each without need.
  * @param stopsOfSeveral The number of those in which more than one runs.
  */
-record FreshnessHarm(
+record FreshnessRuleResult(
         long states, long withdrawnAdmitted, long harmless, long refusedWithoutNeed, long stops, long stopsOfSeveral) {
 
     /**
@@ -19,8 +19,8 @@
      *
      * @return The zero.
      */
-    static FreshnessHarm none() {
-        return new FreshnessHarm(0, 0, 0, 0, 0, 0);
+    static FreshnessRuleResult none() {
+        return new FreshnessRuleResult(0, 0, 0, 0, 0, 0);
     }
 
     /**
@@ -29,8 +29,8 @@
      * @param other The other harm.
      * @return The sum.
      */
-    FreshnessHarm plus(FreshnessHarm other) {
-        return new FreshnessHarm(
+    FreshnessRuleResult plus(FreshnessRuleResult other) {
+        return new FreshnessRuleResult(
                 states + other.states,
                 withdrawnAdmitted + other.withdrawnAdmitted,
                 harmless + other.harmless,
@@ -45,8 +45,8 @@
      * @param factor The number of times.
      * @return The product.
      */
-    FreshnessHarm times(long factor) {
-        return new FreshnessHarm(
+    FreshnessRuleResult times(long factor) {
+        return new FreshnessRuleResult(
                 states * factor,
                 withdrawnAdmitted * factor,
                 harmless * factor,
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
@@ -34,7 +34,7 @@
             AdmissionFreshness.Disabled.INSTANCE);
 
     /** The cut. */
-    private final NetworkCut cut;
+    private final NetworkPartition cut;
 
     /** Who may be declared gone. */
     private final Declaration declaration;
@@ -49,7 +49,7 @@
     private final int depth;
 
     /** What each rule did. */
-    private final FreshnessHarm[] harms = new FreshnessHarm[RULES.size()];
+    private final FreshnessRuleResult[] harms = new FreshnessRuleResult[RULES.size()];
 
     /**
      * Creates a search.
@@ -58,7 +58,7 @@
      * @param declaration Who may be declared gone.
      * @param depth The highest number of events.
      */
-    FreshnessSearch(NetworkCut cut, Declaration declaration, int depth) {
+    FreshnessSearch(NetworkPartition cut, Declaration declaration, int depth) {
         this.depth = depth;
         this.cut = cut;
         this.declaration = declaration;
@@ -100,9 +100,9 @@
      *
      * @return What each rule did, in the order of the rules.
      */
-    List<FreshnessHarm> run() {
+    List<FreshnessRuleResult> run() {
         for (int rule = 0; rule < harms.length; rule++) {
-            harms[rule] = FreshnessHarm.none();
+            harms[rule] = FreshnessRuleResult.none();
         }
         add(GatewayStates.initial());
         for (int events = 0; events <= depth && !frontier.isEmpty(); events++) {
@@ -330,7 +330,7 @@
      * @param rule The rule.
      * @return What it does.
      */
-    private FreshnessHarm judge(GatewayStates state, AdmissionFreshness rule) {
+    private FreshnessRuleResult judge(GatewayStates state, AdmissionFreshness rule) {
         int withdrawn = 0;
         int harmless = 0;
         int refused = 0;
@@ -349,7 +349,7 @@
             refused += current && !admits ? 1 : 0;
         }
         boolean needlessStop = running > 0 && admitting == 0 && refused == running;
-        return new FreshnessHarm(
+        return new FreshnessRuleResult(
                         1, withdrawn, harmless, refused, needlessStop ? 1 : 0, needlessStop && running > 1 ? 1 : 0)
                 .times(cut.weight());
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseHolder.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseHolder.java
@@ -1,9 +1,9 @@
 package org.cranberrygauge.verification.faults;
 
 import java.util.function.Consumer;
-import org.cranberrygauge.decision.lease.LeaseKeeper;
+import org.cranberrygauge.decision.lease.LeaderElector;
 import org.cranberrygauge.decision.lease.LeaseState;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 
 /**
  * One controller of a scenario: it claims the lease and acts while it holds it.
@@ -22,7 +22,7 @@
     private static final long TICK_MILLIS = 100;
 
     /** The world. */
-    private final World world;
+    private final SimulationContext world;
 
     /** The process. */
     private final SimulatedProcess process;
@@ -31,7 +31,7 @@
     private final LogClient log;
 
     /** The keeper. */
-    private final LeaseKeeper keeper;
+    private final LeaderElector keeper;
 
     /** What is done at each tick while the lease is held. */
     private final Runnable whileHeld;
@@ -44,12 +44,12 @@
      * @param listener Takes what became of records.
      * @param whileHeld What is done at each tick while the lease is held.
      */
-    LeaseHolder(World world, String name, Consumer<Effect> listener, Runnable whileHeld) {
+    LeaseHolder(SimulationContext world, String name, Consumer<ApplyResult> listener, Runnable whileHeld) {
         this.world = world;
         this.whileHeld = whileHeld;
         process = world.process(name);
         log = new LogClient(world, process, listener);
-        keeper = new LeaseKeeper(name, "host-" + name, world.now());
+        keeper = new LeaderElector(name, "host-" + name, world.now());
         process.run(world.draw(TICK_MILLIS), () -> process.every(TICK_MILLIS, this::tick));
     }
 
@@ -76,7 +76,7 @@
      *
      * @return The keeper.
      */
-    LeaseKeeper keeper() {
+    LeaderElector keeper() {
         return keeper;
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseScenario.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.model.record.LogRecord.OrderIntent;
 import org.cranberrygauge.model.record.LogRecord.OrderOutcome;
 
@@ -29,13 +29,13 @@
     private static final long CHECK_MILLIS = 10;
 
     /** What the platform checks. */
-    private final FarEnd farEnd;
+    private final PlatformCheck farEnd;
 
     /** The controllers. */
     private final List<Controller> controllers = new ArrayList<>();
 
     /** The world. */
-    private World world;
+    private SimulationContext world;
 
     /** The size of the pool at the platform. */
     private long size;
@@ -57,12 +57,12 @@
      *
      * @param farEnd What the platform checks.
      */
-    LeaseScenario(FarEnd farEnd) {
+    LeaseScenario(PlatformCheck farEnd) {
         this.farEnd = farEnd;
     }
 
     /** What the platform checks of an order. */
-    enum FarEnd {
+    enum PlatformCheck {
         /** The fencing number. */
         CHECKS_FENCING,
         /** The deadline only. */
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public List<Finding> run(World present) {
+    public List<Finding> run(SimulationContext present) {
         world = present;
         controllers.add(new Controller("a", 1));
         controllers.add(new Controller("b", 2));
@@ -93,7 +93,7 @@
                 .count();
         boolean settled =
                 controllers.stream().anyMatch(controller -> controller.holder.holds() && controller.wanted() == size);
-        boolean window = farEnd == FarEnd.CHECKS_NOTHING && world.on(Mechanism.FENCING);
+        boolean window = farEnd == PlatformCheck.CHECKS_NOTHING && world.on(Mechanism.FENCING);
         String counted = "orders carried out " + carriedOut + ", of a former holder " + lateOrders + ", two holders at "
                 + twoHolders + " checks, size " + size;
         return List.of(
@@ -130,8 +130,8 @@
      */
     private String order(OrderIntent intent, long wanted, long deadlineMillis) {
         boolean checks = world.on(Mechanism.FENCING);
-        boolean old = farEnd == FarEnd.CHECKS_FENCING && intent.fencingNumber() < highestFencing;
-        boolean late = farEnd != FarEnd.CHECKS_NOTHING && world.now() > deadlineMillis;
+        boolean old = farEnd == PlatformCheck.CHECKS_FENCING && intent.fencingNumber() < highestFencing;
+        boolean late = farEnd != PlatformCheck.CHECKS_NOTHING && world.now() > deadlineMillis;
         if (checks && (old || late)) {
             world.timeline().note("platform refuses " + intent.orderId());
             return intent.orderId();
@@ -215,8 +215,8 @@
          *
          * @param effect The effect.
          */
-        private void onEffect(Effect effect) {
-            if (!(effect instanceof Effect.IntentJudged judged)
+        private void onEffect(ApplyResult effect) {
+            if (!(effect instanceof ApplyResult.IntentResult judged)
                     || !judged.intent().holder().equals(holder.process().name())) {
                 return;
             }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LogClient.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LogClient.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.function.Consumer;
-import org.cranberrygauge.decision.state.Effect;
+import org.cranberrygauge.decision.state.ApplyResult;
 import org.cranberrygauge.decision.state.LogState;
 import org.cranberrygauge.model.record.LogEntry;
 import org.cranberrygauge.model.record.LogRecord;
@@ -24,13 +24,13 @@
     private static final long TIMEOUT_MILLIS = 500;
 
     /** The world. */
-    private final World world;
+    private final SimulationContext world;
 
     /** The process. */
     private final SimulatedProcess process;
 
     /** Takes what became of records. */
-    private final Consumer<Effect> listener;
+    private final Consumer<ApplyResult> listener;
 
     /** What happens around a read that finds new entries. */
     private Consumer<Runnable> beforeRead = Runnable::run;
@@ -57,7 +57,7 @@
      * @param process The process.
      * @param listener Takes what became of records.
      */
-    LogClient(World world, SimulatedProcess process, Consumer<Effect> listener) {
+    LogClient(SimulationContext world, SimulatedProcess process, Consumer<ApplyResult> listener) {
         this.world = world;
         this.process = process;
         this.listener = listener;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/NetworkCut.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/NetworkPartition.java
@@ -14,7 +14,7 @@
  * @param logReaders The gateways that reach the log, one bit each.
  * @param weight The number of cuts that are the same but for the names of the gateways.
  */
-record NetworkCut(int groups, int logReaders, int weight) {
+record NetworkPartition(int groups, int logReaders, int weight) {
 
     /** The base of the packed groups. */
     private static final int BASE = 10;
@@ -45,16 +45,16 @@
      *
      * @return The cuts; their weights add up to 15 partitions times 16 sets of readers.
      */
-    static List<NetworkCut> all() {
+    static List<NetworkPartition> all() {
         Map<Long, Integer> weights = new TreeMap<>();
         for (int partition : partitions()) {
             for (int readers = 0; readers < 1 << GatewayStates.GATEWAYS; readers++) {
                 weights.merge(canonical(partition, readers), 1, Integer::sum);
             }
         }
-        List<NetworkCut> cuts = new ArrayList<>();
+        List<NetworkPartition> cuts = new ArrayList<>();
         weights.forEach((packed, weight) ->
-                cuts.add(new NetworkCut((int) (packed >> GatewayStates.GATEWAYS), (int) (packed & 0xF), weight)));
+                cuts.add(new NetworkPartition((int) (packed >> GatewayStates.GATEWAYS), (int) (packed & 0xF), weight)));
         return cuts;
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Protocol.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Protocol.java
@@ -11,14 +11,15 @@
     /** Lease and orders where the platform checks the fencing number. */
     LEASE_FENCING(
             "lease and orders, platform checks fencing numbers",
-            () -> new LeaseScenario(LeaseScenario.FarEnd.CHECKS_FENCING)),
+            () -> new LeaseScenario(LeaseScenario.PlatformCheck.CHECKS_FENCING)),
     /** Lease and orders where the platform checks the deadline only. */
     LEASE_DEADLINE(
             "lease and orders, platform checks deadlines only",
-            () -> new LeaseScenario(LeaseScenario.FarEnd.CHECKS_DEADLINE)),
+            () -> new LeaseScenario(LeaseScenario.PlatformCheck.CHECKS_DEADLINE)),
     /** Lease and orders where the platform checks nothing. */
     LEASE_UNCHECKED(
-            "lease and orders, platform checks nothing", () -> new LeaseScenario(LeaseScenario.FarEnd.CHECKS_NOTHING)),
+            "lease and orders, platform checks nothing",
+            () -> new LeaseScenario(LeaseScenario.PlatformCheck.CHECKS_NOTHING)),
     /** A change of the configuration. */
     CONFIGURATION("withdrawal of a key", ConfigurationScenario::new),
     /** Usage windows. */
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Scenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Scenario.java
@@ -18,5 +18,5 @@
      * @param world The clock, the log and the faults.
      * @return What the run showed of each invariant.
      */
-    List<Finding> run(World world);
+    List<Finding> run(SimulationContext world);
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulatedProcess.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulatedProcess.java
@@ -15,7 +15,7 @@
     private final String name;
 
     /** The clock. */
-    private final Timeline timeline;
+    private final VirtualScheduler timeline;
 
     /** What fell due while it was frozen. */
     private final List<Runnable> deferred = new ArrayList<>();
@@ -41,7 +41,7 @@
      * @param name The name.
      * @param timeline The clock.
      */
-    SimulatedProcess(String name, Timeline timeline) {
+    SimulatedProcess(String name, VirtualScheduler timeline) {
         this.name = name;
         this.timeline = timeline;
     }
