--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/World.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulationContext.java
@@ -13,7 +13,7 @@
  *
  * <p>Used by one thread.
  */
-final class World {
+final class SimulationContext {
 
     /** The time for which a process is frozen in milliseconds, longer than a lease and its margin. */
     static final long FREEZE_MILLIS = 10_000;
@@ -31,13 +31,13 @@
     private static final int RANGE_MILLIS = 10;
 
     /** The clock. */
-    private final Timeline timeline = new Timeline();
+    private final VirtualScheduler timeline = new VirtualScheduler();
 
     /** The log. */
     private final FakeLog log = new FakeLog(timeline);
 
     /** The faults that were not injected yet. */
-    private final List<Injection> injections;
+    private final List<FaultInjection> injections;
 
     /** The mechanisms that are off. */
     private final Set<Mechanism> off;
@@ -64,7 +64,7 @@
      * @param off The mechanisms that are off.
      * @param seed The seed of message times.
      */
-    World(List<Injection> injections, Set<Mechanism> off, long seed) {
+    SimulationContext(List<FaultInjection> injections, Set<Mechanism> off, long seed) {
         this.injections = new ArrayList<>(injections);
         this.off = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
         this.random = new Random(seed);
@@ -84,7 +84,7 @@
      *
      * @return The clock.
      */
-    Timeline timeline() {
+    VirtualScheduler timeline() {
         return timeline;
     }
 
@@ -156,7 +156,7 @@
      * @param action What the step does.
      */
     void step(SimulatedProcess process, Step step, Runnable action) {
-        Injection injection = injections.stream()
+        FaultInjection injection = injections.stream()
                 .filter(candidate -> candidate.step() == step)
                 .findFirst()
                 .orElse(null);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/StreamScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/StreamScenario.java
@@ -35,7 +35,7 @@
     private final List<String> received = new ArrayList<>();
 
     /** The world. */
-    private World world;
+    private SimulationContext world;
 
     /** The gateway. */
     private SimulatedProcess gateway;
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public List<Finding> run(World present) {
+    public List<Finding> run(SimulationContext present) {
         world = present;
         gateway = world.process("gateway");
         world.onFaults(() -> evicted = true, () -> {}, process -> crossed = true);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/UsageScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/UsageScenario.java
@@ -60,13 +60,13 @@
     private final Map<Long, List<Long>> reports = new TreeMap<>();
 
     /** The controllers. */
-    private final List<Reporter> reporters = new ArrayList<>();
+    private final List<UsageReportingController> reporters = new ArrayList<>();
 
     /** The counter of the gateway. */
     private final UsageCounter counter = new UsageCounter("gateway");
 
     /** The world. */
-    private World world;
+    private SimulationContext world;
 
     /** The gateway. */
     private SimulatedProcess gateway;
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public List<Finding> run(World present) {
+    public List<Finding> run(SimulationContext present) {
         world = present;
         gateway = world.process("gateway");
         gatewayLog = new LogClient(world, gateway, effect -> {});
@@ -96,8 +96,8 @@
         if (world.on(Mechanism.USAGE_COPY)) {
             holdCopies();
         }
-        reporters.add(new Reporter("a"));
-        reporters.add(new Reporter("b"));
+        reporters.add(new UsageReportingController("a"));
+        reporters.add(new UsageReportingController("b"));
         world.onFaults(
                 () -> {},
                 () -> {},
@@ -188,7 +188,7 @@
     }
 
     /** One controller. */
-    private final class Reporter {
+    private final class UsageReportingController {
 
         /** The lease. */
         private final LeaseHolder holder;
@@ -207,7 +207,7 @@
          *
          * @param name The name.
          */
-        private Reporter(String name) {
+        private UsageReportingController(String name) {
             holder = new LeaseHolder(world, name, effect -> {}, this::tick);
         }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Timeline.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/VirtualScheduler.java
@@ -11,14 +11,14 @@
  * <p>Invariants: actions run in the order of their times, those of one time in the order in which they were added. Used by
  * one thread.
  */
-final class Timeline {
+final class VirtualScheduler {
 
     /** The largest number of lines of the trace. */
     private static final int TRACE_LINES = 400;
 
     /** The actions that are due. */
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingLong(Due::atMillis).thenComparingLong(Due::number));
+    private final PriorityQueue<ScheduledAction> due = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledAction::atMillis).thenComparingLong(ScheduledAction::number));
 
     /** What happened. */
     private final List<String> trace = new ArrayList<>();
@@ -46,7 +46,7 @@
      */
     void after(long delayMillis, Runnable action) {
         number++;
-        due.add(new Due(nowMillis + delayMillis, number, action));
+        due.add(new ScheduledAction(nowMillis + delayMillis, number, action));
     }
 
     /**
@@ -56,7 +56,7 @@
      */
     void runUntil(long endMillis) {
         while (!due.isEmpty() && due.peek().atMillis() <= endMillis) {
-            Due next = due.remove();
+            ScheduledAction next = due.remove();
             nowMillis = next.atMillis();
             next.action().run();
         }
@@ -90,5 +90,5 @@
      * @param number The number by which actions of one time are ordered.
      * @param action The action.
      */
-    private record Due(long atMillis, long number, Runnable action) {}
+    private record ScheduledAction(long atMillis, long number, Runnable action) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/ClassStream.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/ClassTokenQueue.java
@@ -9,7 +9,7 @@
  *
  * <p>Used by one thread.
  */
-final class ClassStream {
+final class ClassTokenQueue {
 
     /** The number of milliseconds in a second. */
     private static final double MILLIS = 1_000;
@@ -37,7 +37,7 @@
      *
      * @param serviceClass The class.
      */
-    ClassStream(ServiceClass serviceClass) {
+    ClassTokenQueue(ServiceClass serviceClass) {
         this.serviceClass = serviceClass;
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetSimulation.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetSimulation.java
@@ -11,7 +11,7 @@
 import org.cranberrygauge.decision.fleet.FleetView;
 import org.cranberrygauge.decision.fleet.FleetView.ModelDemand;
 import org.cranberrygauge.decision.fleet.FleetView.PoolState;
-import org.cranberrygauge.decision.fleet.OrderPacing;
+import org.cranberrygauge.decision.fleet.OrderRateLimiter;
 import org.cranberrygauge.model.backend.Supply;
 import org.cranberrygauge.model.configuration.FleetPool;
 
@@ -46,13 +46,13 @@
     private final FleetPlanner planner;
 
     /** Bounds the rate of orders, as in the controller. */
-    private final OrderPacing pacing = new OrderPacing(60);
+    private final OrderRateLimiter pacing = new OrderRateLimiter(60);
 
     /** The times in seconds at which the servers of each pool are live. */
     private final Map<String, List<Integer>> servers = new HashMap<>();
 
     /** The streams of the classes. */
-    private final List<ClassStream> streams = new ArrayList<>();
+    private final List<ClassTokenQueue> streams = new ArrayList<>();
 
     /** The second from which the weight store is free. */
     private int weightsFreeAt = -WARM_UP_SECONDS;
@@ -84,7 +84,7 @@
     public FleetSimulation(FleetScenario scenario, FleetPlanner planner) {
         this.scenario = scenario;
         this.planner = planner;
-        scenario.configuration().classes().forEach(serviceClass -> streams.add(new ClassStream(serviceClass)));
+        scenario.configuration().classes().forEach(serviceClass -> streams.add(new ClassTokenQueue(serviceClass)));
         scenario.configuration().fleet().forEach(pool -> servers.put(pool.name(), new ArrayList<>()));
     }
 
@@ -101,7 +101,7 @@
             }
             serve(second);
             if (second == -1) {
-                streams.forEach(ClassStream::resetCounts);
+                streams.forEach(ClassTokenQueue::resetCounts);
                 cost = 0;
                 cheapTokens = 0;
                 servedTokens = 0;
@@ -151,7 +151,7 @@
             int live = (int) liveAt.stream().filter(at -> at <= second).count();
             pools.put(pool, new PoolState(live, liveAt.size() - live));
         });
-        double waiting = streams.stream().mapToDouble(ClassStream::waiting).sum();
+        double waiting = streams.stream().mapToDouble(ClassTokenQueue::waiting).sum();
         FleetView view = new FleetView(
                 scenario.configuration(),
                 pools,
@@ -183,7 +183,7 @@
             present.remove(present.size() - 1);
         }
         if (present.size() < order.desiredCount() && isEvicted(second, pool)) {
-            return OrderPacing.UNAVAILABLE;
+            return OrderRateLimiter.UNAVAILABLE;
         }
         while (present.size() < order.desiredCount()) {
             int loaded = Math.max(second, weightsFreeAt)
@@ -216,10 +216,10 @@
         for (int index = 0; index < streams.size(); index++) {
             streams.get(index).arrive(second, scenario.demand()[Math.max(0, second)][index]);
         }
-        for (ClassStream stream : streams) {
+        for (ClassTokenQueue stream : streams) {
             left -= stream.serve(second, Math.min(left, capacity * stream.share()));
         }
-        for (ClassStream stream : streams) {
+        for (ClassTokenQueue stream : streams) {
             left -= stream.serve(second, left);
             stream.expire(second);
         }
@@ -255,7 +255,7 @@
      */
     private double protectedMissed() {
         return streams.subList(0, streams.size() - 1).stream()
-                .mapToDouble(ClassStream::missed)
+                .mapToDouble(ClassTokenQueue::missed)
                 .sum();
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/StatedOutcome.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/AcceptanceCriteria.java
@@ -11,7 +11,7 @@
  * @param worstCustomer The least attainment of the worst-served customer.
  * @param wasted The largest share of generated tokens that are in no whole answer.
  */
-record StatedOutcome(double highTier, double worstCustomer, double wasted) {
+record AcceptanceCriteria(double highTier, double worstCustomer, double wasted) {
 
     /** The longest wait of a class without a start relative to its bound. */
     private static final double STARVATION_LIMIT = 1.5;
@@ -22,22 +22,22 @@
      * @param profile The profile.
      * @return The outcome.
      */
-    static StatedOutcome of(TraceProfile profile) {
+    static AcceptanceCriteria of(TraceProfile profile) {
         return switch (profile) {
-            case QUIET -> new StatedOutcome(0.99, 0.97, 0.001);
-            case HIGH_TIER_BURST -> new StatedOutcome(0.4, 0.3, 0.02);
-            case LOW_TIER_BURST -> new StatedOutcome(0.98, 0.4, 0.02);
-            case CUSTOMER_FLOOD -> new StatedOutcome(0.5, 0.85, 0.02);
-            case HEAVY_TAIL -> new StatedOutcome(0.97, 0.9, 0.01);
-            case SHARED_PREFIXES -> new StatedOutcome(0.97, 0.9, 0.01);
-            case SLOW_ENGINE -> new StatedOutcome(0.97, 0.9, 0.01);
-            case LATE_LOADS -> new StatedOutcome(0.95, 0.85, 0.02);
-            case DATA_CENTRE_EVICTION -> new StatedOutcome(0.95, 0.75, 0.02);
-            case KEY_CHURN -> new StatedOutcome(0.97, 0.9, 0.05);
-            case RETRY_STORM -> new StatedOutcome(0.95, 0.8, 0.02);
-            case LOG_OUTAGE -> new StatedOutcome(0.97, 0.6, 0.01);
-            case UNEVEN_ARRIVAL -> new StatedOutcome(0.95, 0.8, 0.02);
-            case GATEWAY_KILLED -> new StatedOutcome(0.95, 0.85, 0.03);
+            case QUIET -> new AcceptanceCriteria(0.99, 0.97, 0.001);
+            case HIGH_TIER_BURST -> new AcceptanceCriteria(0.4, 0.3, 0.02);
+            case LOW_TIER_BURST -> new AcceptanceCriteria(0.98, 0.4, 0.02);
+            case CUSTOMER_FLOOD -> new AcceptanceCriteria(0.5, 0.85, 0.02);
+            case HEAVY_TAIL -> new AcceptanceCriteria(0.97, 0.9, 0.01);
+            case SHARED_PREFIXES -> new AcceptanceCriteria(0.97, 0.9, 0.01);
+            case SLOW_ENGINE -> new AcceptanceCriteria(0.97, 0.9, 0.01);
+            case LATE_LOADS -> new AcceptanceCriteria(0.95, 0.85, 0.02);
+            case DATA_CENTRE_EVICTION -> new AcceptanceCriteria(0.95, 0.75, 0.02);
+            case KEY_CHURN -> new AcceptanceCriteria(0.97, 0.9, 0.05);
+            case RETRY_STORM -> new AcceptanceCriteria(0.95, 0.8, 0.02);
+            case LOG_OUTAGE -> new AcceptanceCriteria(0.97, 0.6, 0.01);
+            case UNEVEN_ARRIVAL -> new AcceptanceCriteria(0.95, 0.8, 0.02);
+            case GATEWAY_KILLED -> new AcceptanceCriteria(0.95, 0.85, 0.03);
         };
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
@@ -11,7 +11,7 @@
     private final ReplayedRequest request;
 
     /** The engine. */
-    private final MemoryEngine engine;
+    private final SimulatedEngine engine;
 
     /** The gateway. */
     private final ReplayGateway gateway;
@@ -49,7 +49,7 @@
      * @param requestId The number of the request in its gateway.
      * @param number The position among all attempts.
      */
-    EngineAttempt(ReplayGateway gateway, MemoryEngine engine, ReplayedRequest request, long requestId, long number) {
+    EngineAttempt(ReplayGateway gateway, SimulatedEngine engine, ReplayedRequest request, long requestId, long number) {
         this.gateway = gateway;
         this.engine = engine;
         this.request = request;
@@ -101,7 +101,7 @@
      *
      * @return The engine.
      */
-    MemoryEngine engine() {
+    SimulatedEngine engine() {
         return engine;
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/Deployments.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ExampleDeployments.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.cranberrygauge.model.configuration.Configuration;
 import org.cranberrygauge.model.error.CranberrygaugeException;
-import org.cranberrygauge.operator.questionnaire.AnswerReader;
 import org.cranberrygauge.operator.questionnaire.ConfigurationGenerator;
 import org.cranberrygauge.operator.questionnaire.Questionnaire;
+import org.cranberrygauge.operator.questionnaire.YamlFileReader;
 
 /** The configurations of the example deployments. */
-final class Deployments {
+final class ExampleDeployments {
 
     /** Prevents instances. */
-    private Deployments() {}
+    private ExampleDeployments() {}
 
     /**
      * Generates the configuration of an example.
@@ -24,6 +24,6 @@
     static Configuration read(Path questionnaire) throws CranberrygaugeException {
         AtomicInteger keys = new AtomicInteger();
         ConfigurationGenerator generator = new ConfigurationGenerator(() -> "replay-" + keys.incrementAndGet());
-        return generator.generate(AnswerReader.read(questionnaire, Questionnaire.class), Configuration.empty());
+        return generator.generate(YamlFileReader.read(questionnaire, Questionnaire.class), Configuration.empty());
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyBench.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyBench.java
@@ -52,7 +52,7 @@
         List<PolicyRun> runs = new ArrayList<>();
         for (String deployment : DEPLOYMENTS) {
             Configuration configuration =
-                    Deployments.read(root.resolve("examples").resolve(deployment + ".yaml"));
+                    ExampleDeployments.read(root.resolve("examples").resolve(deployment + ".yaml"));
             runs.addAll(replay(configuration, variants, SEED));
         }
         print(runs);
@@ -110,7 +110,7 @@
      */
     private static PolicyRun run(
             Configuration configuration, ProfileGenerator generator, Trace trace, PolicyVariant variant) {
-        ReplayResult result = new SteppedReplay(configuration, trace, variant).run();
+        ReplayResult result = new ReplaySimulation(configuration, trace, variant).run();
         List<String> chatClasses =
                 generator.chatClasses().stream().map(ServiceClass::name).toList();
         return new PolicyRun(configuration.deployment(), trace.profile(), variant, chatClasses, result);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyRun.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyRun.java
@@ -45,7 +45,7 @@
      * @return What does not hold.
      */
     List<String> misses() {
-        return StatedOutcome.of(profile).misses(result, chatClasses.get(0));
+        return AcceptanceCriteria.of(profile).misses(result, chatClasses.get(0));
     }
 
     /**
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyVariant.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyVariant.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.function.Supplier;
 import org.cranberrygauge.decision.admission.AdmissionPolicy;
-import org.cranberrygauge.decision.admission.CustomerLines;
+import org.cranberrygauge.decision.admission.CustomerQueues;
 import org.cranberrygauge.decision.admission.FirstInFirstOutQueue;
-import org.cranberrygauge.decision.admission.ShareRule;
+import org.cranberrygauge.decision.admission.GuaranteedSharePolicy;
 import org.cranberrygauge.decision.admission.TieredAdmissionQueue;
 import org.cranberrygauge.decision.admission.WaitLimit;
 import org.cranberrygauge.decision.dispatch.DispatchPolicy;
 import org.cranberrygauge.decision.estimate.OutputEstimate;
 import org.cranberrygauge.decision.preemption.PreemptionPolicy;
 import org.cranberrygauge.decision.routing.BackendTable;
+import org.cranberrygauge.decision.routing.OutlierDetection;
 import org.cranberrygauge.decision.routing.PredictedFirstToken;
-import org.cranberrygauge.decision.routing.PrefixMemory;
+import org.cranberrygauge.decision.routing.PrefixAffinity;
 import org.cranberrygauge.decision.routing.RoutingPolicy;
-import org.cranberrygauge.decision.routing.SpeedRule;
 import org.cranberrygauge.decision.share.SlotDivision;
 
 /**
@@ -58,7 +58,7 @@
                 admission(
                         "strict-priority",
                         Kind.BASELINE,
-                        AdmissionPolicy.standard().withShares(ShareRule.Disabled.INSTANCE)),
+                        AdmissionPolicy.standard().withShares(GuaranteedSharePolicy.Disabled.INSTANCE)),
                 division("per-gateway-static", Kind.BASELINE, SlotDivision.EqualParts.INSTANCE, EXCHANGE_MILLIS),
                 division("exchanged-counts", Kind.ABLATION, SlotDivision.ExchangedCounts.INSTANCE, EXCHANGE_MILLIS),
                 division("owner-grants-bound", Kind.ABLATION, SlotDivision.ExchangedCounts.INSTANCE, OWNER_MILLIS),
@@ -74,12 +74,13 @@
                         "no-prefix-memory",
                         Kind.ABLATION,
                         () -> DispatchPolicy.standard()
-                                .withRouting(new PredictedFirstToken(PrefixMemory.Disabled.INSTANCE))),
+                                .withRouting(new PredictedFirstToken(PrefixAffinity.Disabled.INSTANCE))),
                 of(
                         "no-ejection",
                         Kind.ABLATION,
                         () -> DispatchPolicy.standard()
-                                .withTable(new BackendTable(SlotDivision.DemandShare.INSTANCE, SpeedRule.DISABLED))),
+                                .withTable(new BackendTable(
+                                        SlotDivision.DemandShare.INSTANCE, OutlierDetection.DISABLED))),
                 admission(
                         "no-forecast",
                         Kind.ABLATION,
@@ -91,11 +92,11 @@
                 admission(
                         "customers-in-arrival-order",
                         Kind.ABLATION,
-                        AdmissionPolicy.standard().withLines(CustomerLines.FirstInFirstOut::new)),
+                        AdmissionPolicy.standard().withLines(CustomerQueues.FirstInFirstOut::new)),
                 admission(
                         "shares-not-deferred",
                         Kind.ABLATION,
-                        AdmissionPolicy.standard().withShares(ShareRule.Strict.INSTANCE)));
+                        AdmissionPolicy.standard().withShares(GuaranteedSharePolicy.Strict.INSTANCE)));
     }
 
     /**
@@ -147,7 +148,7 @@
                 name,
                 kind,
                 exchangeMillis,
-                () -> DispatchPolicy.standard().withTable(new BackendTable(division, SpeedRule.PEERS)));
+                () -> DispatchPolicy.standard().withTable(new BackendTable(division, OutlierDetection.PEERS)));
     }
 
     /** The kinds of variants. */
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
@@ -45,10 +45,10 @@
     private final String name;
 
     /** The replay. */
-    private final SteppedReplay replay;
+    private final ReplaySimulation replay;
 
     /** The clock. */
-    private final SteppedClock clock;
+    private final VirtualClock clock;
 
     /** The dispatcher. */
     private final Dispatcher dispatcher;
@@ -89,8 +89,8 @@
      */
     ReplayGateway(
             String name,
-            SteppedReplay replay,
-            SteppedClock clock,
+            ReplaySimulation replay,
+            VirtualClock clock,
             PolicyVariant variant,
             Configuration configuration,
             Random random) {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayResult.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayResult.java
@@ -91,9 +91,9 @@
             Configuration configuration,
             Trace trace,
             List<ReplayedRequest> requests,
-            List<MemoryEngine> engines,
+            List<SimulatedEngine> engines,
             List<ReplayGateway> gateways,
-            OrderCheck check) {
+            TierOrderMonitor check) {
         Map<String, Double> byCustomer = attainment(requests, request -> request.trace.customer(), CUSTOMER_REQUESTS);
         String flooding = trace.profile() == TraceProfile.CUSTOMER_FLOOD
                 ? new ProfileGenerator(configuration).flooding().name()
@@ -110,9 +110,9 @@
                 .mapToLong(request -> request.delivered)
                 .sum();
         long generated =
-                engines.stream().mapToLong(MemoryEngine::generatedTokens).sum();
+                engines.stream().mapToLong(SimulatedEngine::generatedTokens).sum();
         long prefilled =
-                engines.stream().mapToLong(MemoryEngine::prefilledTokens).sum();
+                engines.stream().mapToLong(SimulatedEngine::prefilledTokens).sum();
         long prompts = requests.stream()
                 .filter(ReplayedRequest::isChat)
                 .mapToLong(request -> (long) request.attempts * request.trace.promptTokens())
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SteppedReplay.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplaySimulation.java
@@ -20,7 +20,7 @@
  *
  * <p>Invariants: the same trace, variant and configuration give the same figures. Used once, by one thread.
  */
-final class SteppedReplay {
+final class ReplaySimulation {
 
     /** The number of gateways. */
     private static final int GATEWAYS = 4;
@@ -68,22 +68,22 @@
     private final PolicyVariant variant;
 
     /** The clock. */
-    private final SteppedClock clock = new SteppedClock();
+    private final VirtualClock clock = new VirtualClock();
 
     /** The engines and workers by name. */
-    private final Map<String, MemoryEngine> engines = new TreeMap<>();
+    private final Map<String, SimulatedEngine> engines = new TreeMap<>();
 
     /** The gateways. */
     private final List<ReplayGateway> gateways = new ArrayList<>();
 
     /** The last exchanged counts by gateway. */
-    private final Map<String, Exchanged> exchanged = new TreeMap<>();
+    private final Map<String, ExchangedLoad> exchanged = new TreeMap<>();
 
     /** The requests. */
     private final List<ReplayedRequest> requests = new ArrayList<>();
 
     /** Watches the order of tiers. */
-    private final OrderCheck check;
+    private final TierOrderMonitor check;
 
     /** The source of randomness. */
     private final Random random;
@@ -104,18 +104,18 @@
      * @param trace The trace.
      * @param variant The decisions.
      */
-    SteppedReplay(Configuration configuration, Trace trace, PolicyVariant variant) {
+    ReplaySimulation(Configuration configuration, Trace trace, PolicyVariant variant) {
         this.configuration = configuration;
         this.trace = trace;
         this.variant = variant;
-        check = new OrderCheck(configuration);
+        check = new TierOrderMonitor(configuration);
         random = new Random(trace.seed());
         lateMillis = trace.faults().stream()
                 .filter(fault -> fault.kind() == TraceFault.Kind.REPORTS_LATE)
                 .mapToLong(fault -> (long) fault.amount())
                 .sum();
         for (BackendServer server : configuration.backendServers()) {
-            engines.put(server.name(), new MemoryEngine(clock, server, new Random(trace.seed())));
+            engines.put(server.name(), new SimulatedEngine(clock, server, new Random(trace.seed())));
         }
         for (int index = 0; index < GATEWAYS; index++) {
             gateways.add(new ReplayGateway(
@@ -298,7 +298,7 @@
         if (!gateway.isAlive()) {
             return;
         }
-        Exchanged own = new Exchanged(nowMillis, gateway.table().inFlight(), gateway.demand());
+        ExchangedLoad own = new ExchangedLoad(nowMillis, gateway.table().inFlight(), gateway.demand());
         clock.after(lateMillis + 1, () -> exchanged.put(gateway.name(), own));
         Map<String, Integer> others = new HashMap<>();
         TreeMap<String, Double> demands = new TreeMap<>();
@@ -353,7 +353,7 @@
      * @param fault The fault.
      */
     private void evict(TraceFault fault) {
-        for (MemoryEngine engine : engines.values()) {
+        for (SimulatedEngine engine : engines.values()) {
             boolean hit = engine.server().dataCentre().equals(fault.subject())
                     && engine.server().kind() == BackendKind.MODEL;
             if (!hit) {
@@ -397,5 +397,5 @@
      * @param inFlight The requests in flight by server.
      * @param demand The work in flight and waiting.
      */
-    private record Exchanged(long atMillis, Map<String, Integer> inFlight, double demand) {}
+    private record ExchangedLoad(long atMillis, Map<String, Integer> inFlight, double demand) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/MemoryEngine.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SimulatedEngine.java
@@ -16,7 +16,7 @@
  *
  * <p>Used by one thread.
  */
-final class MemoryEngine {
+final class SimulatedEngine {
 
     /** The tokens that are generated in one step after the first. */
     private static final int TOKENS_PER_STEP = 4;
@@ -37,7 +37,7 @@
     private static final double PREFILL_TOKENS_PER_SECOND = 8_000;
 
     /** The clock. */
-    private final SteppedClock clock;
+    private final VirtualClock clock;
 
     /** The server as configured. */
     private final BackendServer server;
@@ -80,7 +80,7 @@
      * @param server The server as configured.
      * @param random The source of randomness.
      */
-    MemoryEngine(SteppedClock clock, BackendServer server, Random random) {
+    SimulatedEngine(VirtualClock clock, BackendServer server, Random random) {
         this.clock = clock;
         this.server = server;
         this.random = random;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/OrderCheck.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/TierOrderMonitor.java
@@ -10,7 +10,7 @@
  *
  * <p>Used by one thread.
  */
-final class OrderCheck {
+final class TierOrderMonitor {
 
     /** The time for which a lower-tier request may run on while a higher one is refused in milliseconds. */
     private static final long GRACE_MILLIS = 2_000;
@@ -44,7 +44,7 @@
      *
      * @param configuration The configuration.
      */
-    OrderCheck(Configuration configuration) {
+    TierOrderMonitor(Configuration configuration) {
         this.configuration = configuration;
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SteppedClock.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/VirtualClock.java
@@ -9,7 +9,7 @@
  * <p>Invariants: time never goes back; events of the same time run in the order in which they were added. Used by one
  * thread.
  */
-final class SteppedClock {
+final class VirtualClock {
 
     /** The number of microseconds in a millisecond. */
     private static final double MICROS_PER_MILLI = 1_000;
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/SecretScanTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/SecretScanTest.java
@@ -19,8 +19,8 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import org.cranberrygauge.emulator.platform.PlatformStandIn;
-import org.cranberrygauge.emulator.service.ServiceStandIn;
+import org.cranberrygauge.emulator.platform.EmulatedPlatform;
+import org.cranberrygauge.emulator.service.EmulatedService;
 import org.cranberrygauge.gateway.Gateway;
 import org.cranberrygauge.gateway.GatewaySettings;
 import org.cranberrygauge.model.backend.BackendKind;
@@ -77,9 +77,9 @@
 
     @BeforeEach
     void start() throws Exception {
-        PlatformStandIn.Options options = new PlatformStandIn.Options(60_000, true, 10, 10, 10);
-        platform = new PlatformStandIn(vertx, options).listen(ANY_PORT).await();
-        ledger = new ServiceStandIn(vertx, 1).listen(ANY_PORT).await();
+        EmulatedPlatform.Options options = new EmulatedPlatform.Options(60_000, true, 10, 10, 10);
+        platform = new EmulatedPlatform(vertx, options).listen(ANY_PORT).await();
+        ledger = new EmulatedService(vertx, 1).listen(ANY_PORT).await();
         log().append(LogCodec.write(new LogEntry(
                         "operator:ana/1",
                         1,
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/faults/FreshnessSearchTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/faults/FreshnessSearchTest.java
@@ -15,13 +15,16 @@
 
     @Test
     void the_cuts_are_all_partitions_with_all_sets_of_readers() {
-        assertThat(NetworkCut.all().stream().mapToInt(NetworkCut::weight).sum()).isEqualTo(15 * 16);
+        assertThat(NetworkPartition.all().stream()
+                        .mapToInt(NetworkPartition::weight)
+                        .sum())
+                .isEqualTo(15 * 16);
     }
 
     @Test
     void no_order_of_events_admits_by_a_key_whose_withdrawal_was_accepted() {
-        List<FreshnessHarm> harms =
-                FreshnessPage.search(NetworkCut.all(), FreshnessSearch.Declaration.DEAD_HOST, DEPTH);
+        List<FreshnessRuleResult> harms =
+                FreshnessPage.search(NetworkPartition.all(), FreshnessSearch.Declaration.DEAD_HOST, DEPTH);
 
         assertThat(harms.get(OURS).withdrawnAdmitted()).isZero();
         assertThat(harms.get(OURS).refusedWithoutNeed())
@@ -30,11 +33,12 @@
 
     @Test
     void a_gateway_that_never_stops_admits_by_a_withdrawn_key_and_ours_does_not() {
-        List<NetworkCut> alone = NetworkCut.all().stream()
+        List<NetworkPartition> alone = NetworkPartition.all().stream()
                 .filter(cut -> cut.logReaders() != 0 && cut.groups() > 0)
                 .limit(6)
                 .toList();
-        List<FreshnessHarm> harms = FreshnessPage.search(alone, FreshnessSearch.Declaration.SILENCE_TO_ALL, DEPTH + 1);
+        List<FreshnessRuleResult> harms =
+                FreshnessPage.search(alone, FreshnessSearch.Declaration.SILENCE_TO_ALL, DEPTH + 1);
 
         assertThat(harms.get(NEVER_STOP).withdrawnAdmitted()).isPositive();
         assertThat(harms.get(OURS).withdrawnAdmitted()).isZero();
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/AtMostOnceTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/AtMostOnceTest.java
@@ -11,11 +11,11 @@
 
 class AtMostOnceTest {
 
-    private static PathBench bench;
+    private static InProcessDeployment bench;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new PathBench(PathBench.Size.of(2, 1, 2));
+        bench = new InProcessDeployment(InProcessDeployment.Size.of(2, 1, 2));
     }
 
     @AfterAll
@@ -42,7 +42,7 @@
         HttpResponse<String> other = book(0, "reused", "reused", "{\"other\":1}");
 
         assertThat(other.statusCode()).isEqualTo(409);
-        assertThat(PathBench.errorOf(other).getString("code")).isEqualTo("key_reused");
+        assertThat(InProcessDeployment.errorOf(other).getString("code")).isEqualTo("key_reused");
         assertThat(bench.executions("reused")).isEqualTo(1);
     }
 
@@ -54,7 +54,8 @@
 
         assertUnknown(book(0, "lost", "lost", "{}"));
         Await.until("the outcome is recorded", () -> {
-            String code = PathBench.errorOf(book(1, "lost", "lost", "{}")).getString("code");
+            String code =
+                    InProcessDeployment.errorOf(book(1, "lost", "lost", "{}")).getString("code");
             assertThat(code).isIn("in_progress", "outcome_unknown");
             return code.equals("outcome_unknown");
         });
@@ -86,8 +87,8 @@
         HttpResponse<String> refused = book(0, "outage", "outage", "{}");
 
         assertThat(refused.statusCode()).isEqualTo(503);
-        assertThat(PathBench.errorOf(refused).getString("code")).isEqualTo("log_unavailable");
-        assertThat(PathBench.errorOf(refused).getBoolean("not_run")).isTrue();
+        assertThat(InProcessDeployment.errorOf(refused).getString("code")).isEqualTo("log_unavailable");
+        assertThat(InProcessDeployment.errorOf(refused).getBoolean("not_run")).isTrue();
         assertThat(refused.headers().firstValue("Retry-After")).isPresent();
         assertThat(bench.executions("outage")).isZero();
         bench.fault(bench.platformPort(), "LOG_OUTAGE", 0);
@@ -98,18 +99,19 @@
 
     private static void assertUnknown(HttpResponse<String> answer) {
         assertThat(answer.statusCode()).as(answer.body()).isEqualTo(409);
-        assertThat(PathBench.errorOf(answer).getString("code")).isEqualTo("outcome_unknown");
-        assertThat(PathBench.errorOf(answer).getBoolean("not_run")).isFalse();
+        assertThat(InProcessDeployment.errorOf(answer).getString("code")).isEqualTo("outcome_unknown");
+        assertThat(InProcessDeployment.errorOf(answer).getBoolean("not_run")).isFalse();
     }
 
     private static HttpResponse<String> book(int gateway, String idempotencyKey, String call, String body)
             throws Exception {
         Map<String, String> headers = new HashMap<>();
-        headers.put("Authorization", "Bearer " + BenchConfiguration.KEY);
+        headers.put("Authorization", "Bearer " + InProcessConfiguration.KEY);
         headers.put("X-Call-Id", call);
         if (idempotencyKey != null) {
             headers.put("Idempotency-Key", idempotencyKey);
         }
-        return PathBench.request(bench.gatewayPort(gateway), "POST", "/services/ledger/bookings", headers, body);
+        return InProcessDeployment.request(
+                bench.gatewayPort(gateway), "POST", "/services/ledger/bookings", headers, body);
     }
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/BadInputTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/BadInputTest.java
@@ -19,13 +19,13 @@
 
 class BadInputTest {
 
-    private static final String KEY = BenchConfiguration.KEY;
+    private static final String KEY = InProcessConfiguration.KEY;
 
-    private static PathBench bench;
+    private static InProcessDeployment bench;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new PathBench(PathBench.Size.of(1, 1, 1)
+        bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 1, 1)
                 .withSettings("--body-timeout-millis=200", "--body-limit-bytes=20000", "--header-limit-bytes=4096"));
     }
 
@@ -72,18 +72,18 @@
 
         assertRefused(bench.chat(0, "no-such-key", body), 401, "invalid_key");
         assertRefused(
-                PathBench.request(bench.gatewayPort(0), "POST", "/v1/chat/completions", Map.of(), body),
+                InProcessDeployment.request(bench.gatewayPort(0), "POST", "/v1/chat/completions", Map.of(), body),
                 401,
                 "invalid_key");
     }
 
     @Test
     void refusesAClassThatTheCustomerMayNotUse() throws Exception {
-        HttpResponse<String> answer = PathBench.request(
+        HttpResponse<String> answer = InProcessDeployment.request(
                 bench.gatewayPort(0),
                 "POST",
                 "/v1/chat/completions",
-                Map.of("Authorization", "Bearer " + BenchConfiguration.OTHER_KEY, "X-Service-Class", "study"),
+                Map.of("Authorization", "Bearer " + InProcessConfiguration.OTHER_KEY, "X-Service-Class", "study"),
                 new ChatPrompt("a", 1).body(false));
 
         assertRefused(answer, 403, "forbidden");
@@ -144,11 +144,12 @@
         assertRefused(bench.chat(0, KEY, new ChatPrompt(KEY, 1).body(false)), 400, "invalid_request");
         assertRefused(bench.chat(0, KEY, escaped), 400, "invalid_request");
         assertRefused(
-                PathBench.request(bench.gatewayPort(0), "GET", "/services/ledger/hauls?key=" + KEY, headers, ""),
+                InProcessDeployment.request(
+                        bench.gatewayPort(0), "GET", "/services/ledger/hauls?key=" + KEY, headers, ""),
                 400,
                 "invalid_request");
         assertRefused(
-                PathBench.request(
+                InProcessDeployment.request(
                         bench.gatewayPort(0), "GET", "/services/ledger/hauls?key=%6b" + KEY.substring(1), headers, ""),
                 400,
                 "invalid_request");
@@ -164,10 +165,11 @@
                 "X-Api-Key", KEY);
         int port = bench.gatewayPort(0);
 
-        assertThat(PathBench.request(port, "POST", "/v1/chat/completions", headers, new ChatPrompt("a", 1).body(false))
+        assertThat(InProcessDeployment.request(
+                                port, "POST", "/v1/chat/completions", headers, new ChatPrompt("a", 1).body(false))
                         .statusCode())
                 .isEqualTo(200);
-        assertThat(PathBench.request(port, "GET", "/services/ledger/hauls", headers, "")
+        assertThat(InProcessDeployment.request(port, "GET", "/services/ledger/hauls", headers, "")
                         .statusCode())
                 .isEqualTo(200);
 
@@ -184,7 +186,7 @@
         int engine = bench.enginePorts().get(0);
         long before = bench.engineCounts(engine).cancelled();
         String body = new ChatPrompt("vanishing", 100_000).body(true);
-        try (Socket socket = new Socket(PathBench.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
             String head = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + KEY
                     + "\r\nContent-Length: " + body.length() + "\r\n\r\n";
             socket.getOutputStream().write((head + body).getBytes(StandardCharsets.UTF_8));
@@ -241,7 +243,7 @@
     void servesAPlainCompletion() throws Exception {
         String body = "{\"model\":\"amber-large\",\"prompt\":\"a b\",\"metadata\":{\"output_tokens\":\"2\"}}";
 
-        HttpResponse<String> answer = PathBench.request(
+        HttpResponse<String> answer = InProcessDeployment.request(
                 bench.gatewayPort(0), "POST", "/v1/completions", Map.of("Authorization", "Bearer " + KEY), body);
 
         assertThat(new JsonObject(answer.body())
@@ -282,14 +284,14 @@
 
     private static void assertRefused(HttpResponse<String> answer, int status, String code) {
         assertThat(answer.statusCode()).as(answer.body()).isEqualTo(status);
-        assertThat(PathBench.errorOf(answer).getString("code")).isEqualTo(code);
-        assertThat(PathBench.errorOf(answer).getBoolean("not_run")).isTrue();
+        assertThat(InProcessDeployment.errorOf(answer).getString("code")).isEqualTo(code);
+        assertThat(InProcessDeployment.errorOf(answer).getBoolean("not_run")).isTrue();
         assertThat(answer.headers().firstValue("X-Request-Id")).isPresent();
     }
 
     /** Sends bytes and reads until the other end closes. */
     private static String raw(String bytes) throws Exception {
-        try (Socket socket = new Socket(PathBench.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/ChatPrompt.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/ChatPrompt.java
@@ -17,7 +17,7 @@
     JsonObject json() {
         JsonObject message = new JsonObject().put("role", "user").put("content", text);
         return new JsonObject()
-                .put("model", BenchConfiguration.MODEL)
+                .put("model", InProcessConfiguration.MODEL)
                 .put("messages", new JsonArray().add(message))
                 .put("metadata", new JsonObject().put("output_tokens", String.valueOf(outputTokens)));
     }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/EngineFailureTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/EngineFailureTest.java
@@ -14,15 +14,15 @@
 
 class EngineFailureTest {
 
-    private static final String KEY = BenchConfiguration.KEY;
+    private static final String KEY = InProcessConfiguration.KEY;
 
     private static final ChatPrompt PROMPT = new ChatPrompt("a whole answer", 10);
 
-    private static PathBench bench;
+    private static InProcessDeployment bench;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new PathBench(PathBench.Size.of(1, 2, 2));
+        bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 2, 2));
     }
 
     @AfterAll
@@ -87,7 +87,7 @@
         HttpResponse<String> answer = bench.chat(0, KEY, PROMPT.body(false));
 
         assertThat(answer.statusCode()).isEqualTo(400);
-        assertThat(PathBench.errorOf(answer).getBoolean("not_run")).isFalse();
+        assertThat(InProcessDeployment.errorOf(answer).getBoolean("not_run")).isFalse();
         assertThat(startedOnAll()).isEqualTo(before + 1);
         bench.faultOnEngines("STATUS", 0);
         assertThat(bench.chat(0, KEY, PROMPT.body(false)).statusCode()).isEqualTo(200);
@@ -114,8 +114,8 @@
         Map<String, String> headers = Map.of("Authorization", "Bearer " + KEY, "X-Call-Id", "own-call");
 
         for (int call = 0; call < 4; call++) {
-            HttpResponse<String> answer =
-                    PathBench.request(bench.gatewayPort(0), "GET", "/services/ledger/hauls/" + call, headers, "");
+            HttpResponse<String> answer = InProcessDeployment.request(
+                    bench.gatewayPort(0), "GET", "/services/ledger/hauls/" + call, headers, "");
             assertThat(answer.statusCode()).as(answer.body()).isEqualTo(200);
             assertThat(answer.body()).contains("/ledger/hauls/" + call).contains("own-call");
         }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/IdleConnectionTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/IdleConnectionTest.java
@@ -11,11 +11,12 @@
 
 class IdleConnectionTest {
 
-    private static PathBench bench;
+    private static InProcessDeployment bench;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new PathBench(PathBench.Size.of(1, 1, 0).withSettings("--caller-idle-timeout-millis=300"));
+        bench = new InProcessDeployment(
+                InProcessDeployment.Size.of(1, 1, 0).withSettings("--caller-idle-timeout-millis=300"));
     }
 
     @AfterAll
@@ -25,7 +26,7 @@
 
     @Test
     void closesAConnectionThatNeverCompletesAHeader() throws Exception {
-        try (Socket socket = new Socket(PathBench.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write("GET / HTTP/1.1\r\n".getBytes(StandardCharsets.UTF_8));
 
@@ -37,7 +38,7 @@
     void keepsAConnectionWhoseRequestTakesLonger() throws Exception {
         ChatPrompt prompt = new ChatPrompt("long", 700);
 
-        HttpResponse<String> answer = bench.chat(0, BenchConfiguration.KEY, prompt.body(false));
+        HttpResponse<String> answer = bench.chat(0, InProcessConfiguration.KEY, prompt.body(false));
 
         assertThat(ChatPrompt.contentOf(answer)).isEqualTo(prompt.wholeAnswer());
     }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/BenchConfiguration.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/InProcessConfiguration.java
@@ -18,7 +18,7 @@
 import org.cranberrygauge.model.service.ServiceRoute;
 
 /** The configuration of a bench: two customers, two classes, one model, one ledger. */
-final class BenchConfiguration {
+final class InProcessConfiguration {
 
     static final String MODEL = "amber-large";
 
@@ -30,7 +30,7 @@
 
     private static final String DATA_CENTRE = "east-a";
 
-    private BenchConfiguration() {}
+    private InProcessConfiguration() {}
 
     static Configuration of(List<Integer> enginePorts, List<Integer> ledgerPorts, long longestWaitMillis) {
         List<BackendServer> servers = new ArrayList<>();
@@ -88,7 +88,7 @@
     private static BackendServer server(String name, int port, BackendKind kind, String serves) {
         return new BackendServer(
                 name,
-                new NetworkAddress(PathBench.HOST, port),
+                new NetworkAddress(InProcessDeployment.HOST, port),
                 DATA_CENTRE,
                 kind,
                 Set.of(serves),
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PathBench.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/InProcessDeployment.java
@@ -20,15 +20,15 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import org.cranberrygauge.decision.configuration.ConfigurationChecks;
+import org.cranberrygauge.decision.configuration.ConfigurationValidator;
 import org.cranberrygauge.decision.quarantine.Quarantine;
 import org.cranberrygauge.decision.quarantine.QuarantineLimits;
 import org.cranberrygauge.emulator.engine.CrashAction;
+import org.cranberrygauge.emulator.engine.EmulatedEngine;
 import org.cranberrygauge.emulator.engine.EngineCounts;
 import org.cranberrygauge.emulator.engine.EngineSpeed;
-import org.cranberrygauge.emulator.engine.EngineStandIn;
-import org.cranberrygauge.emulator.platform.PlatformStandIn;
-import org.cranberrygauge.emulator.service.ServiceStandIn;
+import org.cranberrygauge.emulator.platform.EmulatedPlatform;
+import org.cranberrygauge.emulator.service.EmulatedService;
 import org.cranberrygauge.emulator.web.FaultSwitch;
 import org.cranberrygauge.gateway.Gateway;
 import org.cranberrygauge.gateway.GatewaySettings;
@@ -43,7 +43,7 @@
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
 /** Gateways in this process against stand-ins in this process, over real sockets, each on any free port. */
-final class PathBench implements AutoCloseable {
+final class InProcessDeployment implements AutoCloseable {
 
     static final String HOST = "127.0.0.1";
 
@@ -72,19 +72,20 @@
 
     private long sequence;
 
-    PathBench(Size size) throws Exception {
-        platform = get(new PlatformStandIn(vertx, new PlatformStandIn.Options(600_000, true, 10, 50, 10)).listen(ANY));
+    InProcessDeployment(Size size) throws Exception {
+        platform =
+                get(new EmulatedPlatform(vertx, new EmulatedPlatform.Options(600_000, true, 10, 50, 10)).listen(ANY));
         log = new HttpPlatform(vertx, address(platform), 5_000);
         for (int index = 0; index < size.engines(); index++) {
             EngineSpeed speed = new EngineSpeed(8, 2, 0, 1_000_000);
-            engines.add(get(new EngineStandIn(
-                            vertx, Set.of(BenchConfiguration.MODEL), speed, 1_000, true, CrashAction.Close.INSTANCE)
+            engines.add(get(new EmulatedEngine(
+                            vertx, Set.of(InProcessConfiguration.MODEL), speed, 1_000, true, CrashAction.Close.INSTANCE)
                     .listen(ANY)));
         }
         for (int index = 0; index < size.ledgers(); index++) {
-            ledgers.add(get(new ServiceStandIn(vertx, 1).listen(ANY)));
+            ledgers.add(get(new EmulatedService(vertx, 1).listen(ANY)));
         }
-        configuration = BenchConfiguration.of(ports(engines), ports(ledgers), size.longestWaitMillis());
+        configuration = InProcessConfiguration.of(ports(engines), ports(ledgers), size.longestWaitMillis());
         if (size.logDown()) {
             fault(platformPort(), "LOG_OUTAGE", 1);
         }
@@ -131,7 +132,7 @@
 
     /** Appends a configuration and waits until every gateway has it. */
     void apply(Configuration next) throws Exception {
-        assertThat(ConfigurationChecks.problems(next)).isEmpty();
+        assertThat(ConfigurationValidator.problems(next)).isEmpty();
         append(next);
         for (Gateway gateway : gateways) {
             Await.until("the configuration is in force", () -> ready(gateway) && versionOf(gateway) > version);
@@ -151,7 +152,7 @@
     }
 
     void withdrawKey(String customer, String key) throws Exception {
-        apply(BenchConfiguration.withoutKey(configuration, customer, key));
+        apply(InProcessConfiguration.withoutKey(configuration, customer, key));
     }
 
     boolean ready(Gateway gateway) throws IOException, InterruptedException {
@@ -188,7 +189,9 @@
 
     /** Returns the number of engines that still take connections. */
     long enginesUp() {
-        return enginePorts().stream().filter(PathBench::takesConnections).count();
+        return enginePorts().stream()
+                .filter(InProcessDeployment::takesConnections)
+                .count();
     }
 
     private static boolean takesConnections(int port) {
@@ -217,8 +220,8 @@
         return JsonCodec.read(request(port, "GET", "/counts", Map.of(), "").body(), EngineCounts.class);
     }
 
-    ServiceStandIn.Counts ledgerCounts(int port) throws Exception {
-        return JsonCodec.read(request(port, "GET", "/counts", Map.of(), "").body(), ServiceStandIn.Counts.class);
+    EmulatedService.Counts ledgerCounts(int port) throws Exception {
+        return JsonCodec.read(request(port, "GET", "/counts", Map.of(), "").body(), EmulatedService.Counts.class);
     }
 
     int executions(String call) throws Exception {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/KeyWithdrawalTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/KeyWithdrawalTest.java
@@ -20,13 +20,13 @@
 
     private static final String CUSTOMER = "alpha";
 
-    private static final String SPARE_KEY = BenchConfiguration.SPARE_KEY;
+    private static final String SPARE_KEY = InProcessConfiguration.SPARE_KEY;
 
-    private PathBench bench;
+    private InProcessDeployment bench;
 
     @BeforeEach
     void start() throws Exception {
-        bench = new PathBench(PathBench.Size.of(1, 1, 1));
+        bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 1, 1));
     }
 
     @AfterEach
@@ -56,7 +56,7 @@
 
     @Test
     void refusesANewRequestAndOneOnAnIdleConnection() throws Exception {
-        try (Socket socket = new Socket(PathBench.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
             BufferedReader answers =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             assertThat(listModels(socket, answers)).contains(" 200 ");
@@ -67,8 +67,8 @@
         }
         HttpResponse<String> refused = bench.chat(0, SPARE_KEY, new ChatPrompt("a", 1).body(false));
         assertThat(refused.statusCode()).isEqualTo(401);
-        assertThat(PathBench.errorOf(refused).getBoolean("not_run")).isTrue();
-        assertThat(bench.chat(0, BenchConfiguration.KEY, new ChatPrompt("a", 1).body(false))
+        assertThat(InProcessDeployment.errorOf(refused).getBoolean("not_run")).isTrue();
+        assertThat(bench.chat(0, InProcessConfiguration.KEY, new ChatPrompt("a", 1).body(false))
                         .statusCode())
                 .isEqualTo(200);
     }
@@ -83,15 +83,15 @@
 
         HttpResponse<String> answer = inFlight.get();
         assertThat(answer.statusCode()).isEqualTo(401);
-        assertThat(PathBench.errorOf(answer).getString("code")).isEqualTo("key_withdrawn");
-        assertThat(PathBench.errorOf(answer).getBoolean("not_run")).isFalse();
+        assertThat(InProcessDeployment.errorOf(answer).getString("code")).isEqualTo("key_withdrawn");
+        assertThat(InProcessDeployment.errorOf(answer).getBoolean("not_run")).isFalse();
         assertOutcomeIsKnown();
     }
 
     @Test
     void recordsTheOutcomeOfABookingWhoseCallerVanished() throws Exception {
         bench.fault(bench.ledgerPorts().get(0), "LATE_MILLIS", 500);
-        try (Socket socket = new Socket(PathBench.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
             String request = "POST /services/ledger/bookings HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + SPARE_KEY
                     + "\r\nIdempotency-Key: run-1\r\nX-Call-Id: run-1\r\nContent-Length: 2\r\n\r\n{}";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
@@ -102,8 +102,9 @@
 
     private void assertOutcomeIsKnown() throws Exception {
         Await.until(
-                "the outcome is recorded", () -> book(BenchConfiguration.KEY).statusCode() == 200);
-        assertThat(book(BenchConfiguration.KEY).body()).contains("\"executions\":1");
+                "the outcome is recorded",
+                () -> book(InProcessConfiguration.KEY).statusCode() == 200);
+        assertThat(book(InProcessConfiguration.KEY).body()).contains("\"executions\":1");
         assertThat(bench.executions("run-1")).isEqualTo(1);
     }
 
@@ -111,7 +112,8 @@
         Map<String, String> headers =
                 Map.of("Authorization", "Bearer " + key, "Idempotency-Key", "run-1", "X-Call-Id", "run-1");
         try {
-            return PathBench.request(bench.gatewayPort(0), "POST", "/services/ledger/bookings", headers, "{}");
+            return InProcessDeployment.request(
+                    bench.gatewayPort(0), "POST", "/services/ledger/bookings", headers, "{}");
         } catch (Exception exception) {
             throw new IllegalStateException(exception);
         }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PlatformClientTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PlatformClientTest.java
@@ -19,7 +19,7 @@
     @Test
     void completesEachCallThatIsMadeFromAnotherThread() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(THREADS);
-        try (PathBench bench = new PathBench(PathBench.Size.of(1, 1, 0))) {
+        try (InProcessDeployment bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 1, 0))) {
             List<Future<Integer>> made = new ArrayList<>();
             for (int thread = 0; thread < THREADS; thread++) {
                 made.add(threads.submit(() -> {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PoisonRequestTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PoisonRequestTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void losesAtMostThreeEnginesToOnePoisonRequestAndRefusesNoOther() throws Exception {
-        Losses losses = measure(PathBench.Size.of(4, 6, 0), 12, SENDS);
+        Losses losses = measure(InProcessDeployment.Size.of(4, 6, 0), 12, SENDS);
 
         System.out.println("poison request, six engines, with quarantine: " + losses);
         assertThat(losses.enginesLost()).isBetween(2, 3);
@@ -29,8 +29,8 @@
 
     @Test
     void losesEveryEngineWithoutQuarantine() throws Exception {
-        Losses losses =
-                measure(PathBench.Size.of(4, 6, 0).withLongestWait(2_000).withoutQuarantine(), 12, SENDS);
+        Losses losses = measure(
+                InProcessDeployment.Size.of(4, 6, 0).withLongestWait(2_000).withoutQuarantine(), 12, SENDS);
 
         System.out.println("poison request, six engines, without quarantine: " + losses);
         assertThat(losses.enginesLost()).isEqualTo(6);
@@ -39,7 +39,7 @@
 
     @Test
     void neverLosesTheLastEngine() throws Exception {
-        Losses losses = measure(PathBench.Size.of(2, 2, 0).withLongestWait(1_000), 6, 4);
+        Losses losses = measure(InProcessDeployment.Size.of(2, 2, 0).withLongestWait(1_000), 6, 4);
 
         System.out.println("poison request, two engines, with quarantine: " + losses);
         assertThat(losses.enginesLost()).isEqualTo(1);
@@ -48,17 +48,17 @@
 
     @Test
     void losesTheLastEngineWithoutQuarantine() throws Exception {
-        Losses losses =
-                measure(PathBench.Size.of(2, 2, 0).withLongestWait(1_000).withoutQuarantine(), 6, 4);
+        Losses losses = measure(
+                InProcessDeployment.Size.of(2, 2, 0).withLongestWait(1_000).withoutQuarantine(), 6, 4);
 
         System.out.println("poison request, two engines, without quarantine: " + losses);
         assertThat(losses.enginesLost()).isEqualTo(2);
         assertThat(losses.refusedOthers()).hasSize(6);
     }
 
-    private static Losses measure(PathBench.Size size, int others, int sends) throws Exception {
+    private static Losses measure(InProcessDeployment.Size size, int others, int sends) throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(others);
-        try (PathBench bench = new PathBench(size)) {
+        try (InProcessDeployment bench = new InProcessDeployment(size)) {
             List<CompletableFuture<String>> running = new ArrayList<>();
             for (int number = 0; number < others; number++) {
                 ChatPrompt prompt = new ChatPrompt("other " + number, 600);
@@ -69,7 +69,7 @@
             int quarantined = 0;
             for (int send = 0; send < sends; send++) {
                 HttpResponse<String> answer =
-                        bench.chat(send % size.gateways(), BenchConfiguration.OTHER_KEY, POISON.body(false));
+                        bench.chat(send % size.gateways(), InProcessConfiguration.OTHER_KEY, POISON.body(false));
                 quarantined += answer.statusCode() == 422 ? 1 : 0;
             }
             List<String> refused = new ArrayList<>();
@@ -83,7 +83,7 @@
         }
     }
 
-    private static int running(PathBench bench) throws Exception {
+    private static int running(InProcessDeployment bench) throws Exception {
         int sum = 0;
         for (int port : bench.enginePorts()) {
             sum += bench.engineCounts(port).running();
@@ -91,11 +91,11 @@
         return sum;
     }
 
-    private static String outcome(PathBench bench, int gateway, ChatPrompt prompt) {
+    private static String outcome(InProcessDeployment bench, int gateway, ChatPrompt prompt) {
         try {
-            HttpResponse<String> answer = bench.chat(gateway, BenchConfiguration.KEY, prompt.body(false));
+            HttpResponse<String> answer = bench.chat(gateway, InProcessConfiguration.KEY, prompt.body(false));
             if (answer.statusCode() != 200) {
-                return PathBench.errorOf(answer).getString("code");
+                return InProcessDeployment.errorOf(answer).getString("code");
             }
             return ChatPrompt.contentOf(answer).equals(prompt.wholeAnswer()) ? "whole" : "cut";
         } catch (Exception exception) {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/policy/SteppedReplayTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/policy/ReplaySimulationTest.java
@@ -12,13 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-class SteppedReplayTest {
+class ReplaySimulationTest {
 
     private static final long SEED = 1;
 
-    private final Configuration configuration = Deployments.read(Path.of("..", "examples", "skillingbrond.yaml"));
+    private final Configuration configuration =
+            ExampleDeployments.read(Path.of("..", "examples", "skillingbrond.yaml"));
 
-    SteppedReplayTest() throws CranberrygaugeException {}
+    ReplaySimulationTest() throws CranberrygaugeException {}
 
     @Test
     void the_same_seed_gives_the_same_figures() {
@@ -32,7 +33,8 @@
             names = {"QUIET", "DATA_CENTRE_EVICTION", "SLOW_ENGINE", "RETRY_STORM"})
     void the_stated_outcome_holds(TraceProfile profile) {
         ReplayResult result = replay(profile, PolicyVariant.OURS);
-        assertThat(StatedOutcome.of(profile).misses(result, "field-crew-chat")).isEmpty();
+        assertThat(AcceptanceCriteria.of(profile).misses(result, "field-crew-chat"))
+                .isEmpty();
     }
 
     @Test
@@ -56,6 +58,6 @@
 
     private ReplayResult replay(TraceProfile profile, PolicyVariant variant) {
         Trace trace = new ProfileGenerator(configuration).generate(profile, SEED);
-        return new SteppedReplay(configuration, trace, variant).run();
+        return new ReplaySimulation(configuration, trace, variant).run();
     }
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/BookingProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/AtMostOnceProcessTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class BookingProcessTest {
+class AtMostOnceProcessTest {
 
     private static final String CALL = "run-1";
 
@@ -102,13 +102,13 @@
 
     private CompletableFuture<HttpResponse<String>> sent() {
         CompletableFuture<HttpResponse<String>> answer =
-                Http.send(Deployment.booking(gateways.get(0).port(), CALL));
+                TestHttpClient.send(Deployment.booking(gateways.get(0).port(), CALL));
         Await.until("the ledger ran the booking", () -> executions() == 1);
         return answer;
     }
 
     private HttpResponse<String> book(int gateway) {
-        return Http.join(Deployment.booking(gateways.get(gateway).port(), CALL));
+        return TestHttpClient.join(Deployment.booking(gateways.get(gateway).port(), CALL));
     }
 
     private int executions() {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/CleaningProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/CleaningProcessTest.java
@@ -38,12 +38,13 @@
             deployment.apply("ole", deployment.configuration().withCleaningWindows(List.of(window)));
             Deployment.awaitReady(gateways);
             for (Node gateway : gateways) {
-                answers.add(Http.send(Deployment.chat(gateway.port(), 300)));
+                answers.add(TestHttpClient.send(Deployment.chat(gateway.port(), 300)));
             }
             deployment.controller("host-a", "--cleaning-millis", "300");
             int round = 0;
             while (deployment.log(DrainEnded.class).size() < 2) {
-                answers.add(Http.send(Deployment.chat(gateways.get(round % 2).port(), 20)));
+                answers.add(TestHttpClient.send(
+                        Deployment.chat(gateways.get(round % 2).port(), 20)));
                 answers.get(answers.size() - 1).join();
                 round++;
                 assertThat(round).as("chats until both servers were cleaned").isLessThan(500);
@@ -73,7 +74,8 @@
             Await.until("a second has passed", () -> Measurements.since(startNanos) > 1_000);
             long before = calls(drained);
             for (int call = 0; call < 20; call++) {
-                assertThat(Http.join(Deployment.chat(gateways.get(call % 2).port(), 3)))
+                assertThat(TestHttpClient.join(
+                                Deployment.chat(gateways.get(call % 2).port(), 3)))
                         .matches(Deployment::isWhole);
             }
             assertThat(calls(drained)).isEqualTo(before);
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Deployment.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Deployment.java
@@ -20,7 +20,7 @@
 import org.cranberrygauge.controller.ControllerMain;
 import org.cranberrygauge.emulator.EmulatorMain;
 import org.cranberrygauge.emulator.engine.EngineCounts;
-import org.cranberrygauge.emulator.service.ServiceStandIn;
+import org.cranberrygauge.emulator.service.EmulatedService;
 import org.cranberrygauge.gateway.GatewayMain;
 import org.cranberrygauge.model.backend.BackendKind;
 import org.cranberrygauge.model.backend.BackendServer;
@@ -239,21 +239,22 @@
     }
 
     void platformFault(String name, double amount) {
-        Http.fault(platformPort, name, amount);
+        TestHttpClient.fault(platformPort, name, amount);
     }
 
     List<Order> orders() {
-        return Arrays.asList(Http.get(platformPort, "/orders", Order[].class));
+        return Arrays.asList(TestHttpClient.get(platformPort, "/orders", Order[].class));
     }
 
     List<UsageReport> reports() {
-        return Arrays.asList(Http.get(platformPort, "/usage", UsageReport[].class));
+        return Arrays.asList(TestHttpClient.get(platformPort, "/usage", UsageReport[].class));
     }
 
     /** Reads all records of the log, in their order. */
     List<LogRecord> log() {
         List<LogRecord> records = new ArrayList<>();
-        PlatformLog.Page page = Http.get(platformPort, "/log/records?after=0&limit=100000", PlatformLog.Page.class);
+        PlatformLog.Page page =
+                TestHttpClient.get(platformPort, "/log/records?after=0&limit=100000", PlatformLog.Page.class);
         try {
             for (PlatformLog.StoredEntry entry : page.entries()) {
                 records.addAll(LogCodec.read(entry.payload()).records());
@@ -273,14 +274,14 @@
         String body = "{\"model\":\"amber-large\",\"stream\":true,\"max_tokens\":" + tokens
                 + ",\"metadata\":{\"output_tokens\":\"" + tokens
                 + "\"},\"messages\":[{\"role\":\"user\",\"content\":\"What lies in the fountain?\"}]}";
-        return Http.request(port, "/v1/chat/completions")
+        return TestHttpClient.request(port, "/v1/chat/completions")
                 .header("Authorization", "Bearer " + KEY)
                 .header("X-Service-Class", "chat")
                 .POST(HttpRequest.BodyPublishers.ofString(body));
     }
 
     static HttpRequest.Builder booking(int port, String call) {
-        return Http.request(port, "/services/ledger/bookings")
+        return TestHttpClient.request(port, "/services/ledger/bookings")
                 .header("Authorization", "Bearer " + KEY)
                 .header("Idempotency-Key", call)
                 .header("X-Call-Id", call)
@@ -294,22 +295,24 @@
     }
 
     static CompletableFuture<HttpResponse<String>> startedChat(Node gateway, Node engine, int tokens) {
-        CompletableFuture<HttpResponse<String>> answer = Http.send(chat(gateway.port(), tokens));
+        CompletableFuture<HttpResponse<String>> answer = TestHttpClient.send(chat(gateway.port(), tokens));
         Await.until("the engine runs the chat", () -> engineCounts(engine).running() > 0);
         return answer;
     }
 
     static EngineCounts engineCounts(Node engine) {
-        return Http.get(engine.port(), "/counts", EngineCounts.class);
+        return TestHttpClient.get(engine.port(), "/counts", EngineCounts.class);
     }
 
-    static ServiceStandIn.Counts ledgerCounts(Node ledger) {
-        return Http.get(ledger.port(), "/counts", ServiceStandIn.Counts.class);
+    static EmulatedService.Counts ledgerCounts(Node ledger) {
+        return TestHttpClient.get(ledger.port(), "/counts", EmulatedService.Counts.class);
     }
 
     static void awaitReady(List<Node> gateways) {
         for (Node gateway : gateways) {
-            Await.until("a gateway is ready", () -> Http.status(gateway.operationsPort(), "/health/ready") == 200);
+            Await.until(
+                    "a gateway is ready",
+                    () -> TestHttpClient.status(gateway.operationsPort(), "/health/ready") == 200);
         }
     }
 
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/GatewayProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/GatewayProcessTest.java
@@ -36,7 +36,7 @@
             deployment.apply("ole", deployment.configuration());
             Deployment.awaitReady(gateways);
             CompletableFuture<HttpResponse<String>> answer =
-                    Http.send(Deployment.chat(gateways.get(0).port(), 200));
+                    TestHttpClient.send(Deployment.chat(gateways.get(0).port(), 200));
             Node busy = Await.value(
                     "an engine runs the chat",
                     () -> engines.stream()
@@ -47,7 +47,7 @@
             HttpResponse<String> whole = answer.join();
             assertThat(whole.body()).contains("[DONE]").doesNotContain("\"error\"");
             HttpResponse<String> unbroken =
-                    Http.join(Deployment.chat(gateways.get(0).port(), 200));
+                    TestHttpClient.join(Deployment.chat(gateways.get(0).port(), 200));
             assertThat(contents(whole)).isEqualTo(contents(unbroken)).hasSizeGreaterThan(100);
         }
     }
@@ -64,7 +64,7 @@
             gateways.get(0).program().signal("TERM");
             Await.until(
                     "the gateway is not ready",
-                    () -> Http.status(gateways.get(0).operationsPort(), "/health/ready") != 200);
+                    () -> TestHttpClient.status(gateways.get(0).operationsPort(), "/health/ready") != 200);
             Measurements.note("not_ready_after_sigterm_millis", Measurements.since(startNanos));
             assertThat(answer.join()).matches(Deployment::isWhole);
             assertThat(gateways.get(0).program().awaitExit()).isZero();
@@ -142,8 +142,8 @@
             }
             deployment.platformFault("log_outage", 1);
             deployment.platformFault("platform_outage", 1);
-            gateways.forEach(gateway ->
-                    assertThat(Http.join(Deployment.chat(gateway.port(), 5))).matches(Deployment::isWhole));
+            gateways.forEach(gateway -> assertThat(TestHttpClient.join(Deployment.chat(gateway.port(), 5)))
+                    .matches(Deployment::isWhole));
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     private static int models(Node gateway) {
-        return Http.join(Http.request(gateway.port(), "/v1/models")
+        return TestHttpClient.join(TestHttpClient.request(gateway.port(), "/v1/models")
                         .header("Authorization", "Bearer " + Deployment.KEY)
                         .GET())
                 .statusCode();
@@ -170,7 +170,8 @@
     }
 
     private static long version(Node gateway) {
-        return Http.get(gateway.operationsPort(), "/state", GatewayState.class).configuration_version();
+        return TestHttpClient.get(gateway.operationsPort(), "/state", GatewayState.class)
+                .configuration_version();
     }
 
     /** Returns the tokens of a stream without what differs from request to request. */
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/LeaseProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/LeaseProcessTest.java
@@ -165,7 +165,7 @@
     }
 
     private static ControllerState state(Node node) {
-        return Http.get(node.port(), "/state", ControllerState.class);
+        return TestHttpClient.get(node.port(), "/state", ControllerState.class);
     }
 
     private static void assertSameFigures(List<UsageReport> reports) {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Http.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/TestHttpClient.java
@@ -12,13 +12,13 @@
 import org.cranberrygauge.protocol.JsonCodec;
 
 /** A plain HTTP client for the tests, over kept-alive connections. */
-final class Http {
+final class TestHttpClient {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private Http() {}
+    private TestHttpClient() {}
 
     static <T> T get(int port, String path, Class<T> type) {
         try {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/UsageProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/UsageProcessTest.java
@@ -45,12 +45,14 @@
 
     private static void chat(Node gateway, int count) {
         for (int call = 0; call < count; call++) {
-            assertThat(Http.join(Deployment.chat(gateway.port(), TOKENS))).matches(Deployment::isWhole);
+            assertThat(TestHttpClient.join(Deployment.chat(gateway.port(), TOKENS)))
+                    .matches(Deployment::isWhole);
         }
     }
 
     private static long heldCalls(Node gateway) {
-        return Http.get(gateway.operationsPort(), "/state", GatewayState.class).held_usage_calls();
+        return TestHttpClient.get(gateway.operationsPort(), "/state", GatewayState.class)
+                .held_usage_calls();
     }
 
     /** Adds up the windows, each once; two reports of a window must agree. */
