--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionPolicy.java
@@ -3,56 +3,42 @@
 import java.util.function.Supplier;
 
 /**
- * The rules of a tiered queue.
+ * The policies that a {@link TieredAdmissionQueue} is composed of.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
- * @param shares Decides whether a class starts before higher tiers.
- * @param lines Creates the lines of a class.
- * @param waitLimit Decides up to which forecast wait a request is taken in.
+ * @param shares Decides when a class may start ahead of higher tiers.
+ * @param customerQueues Creates the queues that schedule the customers of a class.
+ * @param waitLimit Bounds the predicted wait with which a request is admitted.
  */
-public record AdmissionPolicy(GuaranteedSharePolicy shares, Supplier<CustomerQueues> lines, WaitLimit waitLimit) {
+public record AdmissionPolicy(
+        GuaranteedSharePolicy shares, Supplier<CustomerQueues> customerQueues, WaitLimit waitLimit) {
 
-    /** The rules that gateways use. */
+    /** The policies used by gateways. */
     private static final AdmissionPolicy STANDARD = new AdmissionPolicy(
             GuaranteedSharePolicy.Deferring.INSTANCE, WeightedFairQueues::new, WaitLimit.Target.INSTANCE);
 
-    /**
-     * Returns the rules that gateways use.
-     *
-     * @return The rules.
-     */
+    /** Returns the policies used by gateways. */
     public static AdmissionPolicy standard() {
         return STANDARD;
     }
 
-    /**
-     * Replaces the rule of shares.
-     *
-     * @param replacement The rule.
-     * @return The refined rules.
-     */
+    /** Returns a copy with another guaranteed-share policy. */
     public AdmissionPolicy withShares(GuaranteedSharePolicy replacement) {
-        return new AdmissionPolicy(replacement, lines, waitLimit);
+        return new AdmissionPolicy(replacement, customerQueues, waitLimit);
     }
 
     /**
-     * Replaces the order of customers.
+     * Returns a copy with another scheduling order among customers.
      *
-     * @param replacement Creates the lines of a class.
-     * @return The refined rules.
+     * @param replacement Creates the customer queues of a class.
      */
     public AdmissionPolicy withLines(Supplier<CustomerQueues> replacement) {
         return new AdmissionPolicy(shares, replacement, waitLimit);
     }
 
-    /**
-     * Replaces the limit of the forecast wait.
-     *
-     * @param replacement The limit.
-     * @return The refined rules.
-     */
+    /** Returns a copy with another limit on the predicted wait. */
     public AdmissionPolicy withWaitLimit(WaitLimit replacement) {
-        return new AdmissionPolicy(shares, lines, replacement);
+        return new AdmissionPolicy(shares, customerQueues, replacement);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionQueue.java
@@ -6,108 +6,82 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * The queue of one gateway.
+ * The queue of requests that wait for a backend server at one gateway.
  *
- * <p>Used by one thread at a time; the gateway serialises access without locks.
+ * <p>Not thread-safe; the gateway serializes access without locks. Times are monotonic, in milliseconds.
  */
 public interface AdmissionQueue {
 
-    /**
-     * Replaces the classes, keeping what waits.
-     *
-     * @param classes The classes.
-     */
+    /** Replaces the service classes. Waiting requests are kept. */
     void configure(List<ServiceClass> classes);
 
     /**
-     * Offers a request.
+     * Admits a request to the queue, or rejects it if it cannot start in time.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param request The request.
-     * @return Refusals that follow at once, of this request or of one that gave way to it.
+     * @return The refusals that result at once, of this request or of one that was shed for it.
      */
     List<Refusal> offer(long nowMillis, QueuedRequest request);
 
     /**
-     * Takes back a request that has run in part, whatever the forecast.
+     * Returns a partly executed request to the queue, regardless of its predicted wait.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param request The request.
-     * @return Refusals that follow at once, of this request or of one that gave way to it.
+     * @return The refusals that result at once, of this request or of one that was shed for it.
      */
     List<Refusal> resume(long nowMillis, QueuedRequest request);
 
     /**
-     * Takes the request that starts next.
+     * Dequeues the request to start next.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param canStart Tells whether a request could start now.
-     * @return The start, or nothing if none that waits can start.
+     * @param canStart Returns whether a request could start now.
+     * @return The request to start, or empty if none of the waiting requests can start.
      */
     Optional<QueueStart> next(long nowMillis, Predicate<QueuedRequest> canStart);
 
     /**
-     * Removes the requests that can no longer meet their deadline.
+     * Removes the requests whose deadline has passed.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return Their refusals.
+     * @return The refusals of the removed requests.
      */
     List<Refusal> expire(long nowMillis);
 
     /**
-     * Removes a request whose caller is gone.
+     * Removes a request whose caller has disconnected.
      *
-     * @param requestId The identifier of the request.
-     * @return Whether it was waiting.
+     * @return {@code true} if the request was waiting.
      */
     boolean remove(long requestId);
 
     /**
-     * Corrects the account of a customer by the actual cost of a finished request.
+     * Corrects the charge of a customer once the actual cost of a request is known.
      *
-     * @param request The request as it was queued.
      * @param actualTokens The actual cost in tokens.
      */
     void finished(QueuedRequest request, long actualTokens);
 
-    /**
-     * Returns the number of waiting requests of a class.
-     *
-     * @param className The name of the class.
-     * @return The number.
-     */
+    /** Returns the number of waiting requests of a class. */
     int waiting(String className);
 
-    /**
-     * Returns the number of requests of a class that wait for a target.
-     *
-     * @param className The name of the class.
-     * @param target The model or service.
-     * @return The number.
-     */
+    /** Returns the number of requests of a class that wait for a target. */
     int waiting(String className, String target);
 
     /**
      * Returns the work that waits for a target.
      *
-     * @param target The model or service.
      * @return The work in tokens.
      */
     long waitingTokens(String target);
 
     /**
-     * Finds the request for a target that would start next by tier.
+     * Returns the request for a target that is first in line by tier.
      *
-     * @param target The model or service.
-     * @return The request, or null if none waits.
+     * @return The request, or {@code null} if none is waiting.
      */
     QueuedRequest first(String target);
 
     /**
-     * A request that starts.
+     * A request to start.
      *
-     * @param request The request.
-     * @param owed Whether it starts before higher tiers because its class is owed a start.
+     * @param guaranteed Whether the request starts ahead of higher tiers by the guaranteed share of its class.
      */
-    record QueueStart(QueuedRequest request, boolean owed) {}
+    record QueueStart(QueuedRequest request, boolean guaranteed) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/ClassQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/ClassQueue.java
@@ -5,140 +5,93 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * The waiting requests of one class with its guaranteed starts and deadlines.
+ * The waiting requests of one service class, with the class's credit for guaranteed starts.
  *
- * <p>Invariants: the saved credit is never negative and never above its limit. Used by one thread at a time.
+ * <p>Invariants: the credit is never negative and never above {@link #MAXIMUM_CREDIT}. Not thread-safe; callers
+ * serialize access.
  */
 final class ClassQueue {
 
-    /** The highest credit a class can save, in starts. */
-    private static final double CREDIT_LIMIT = 4;
+    /** The highest credit that a class can accumulate, in starts. */
+    private static final double MAXIMUM_CREDIT = 4;
 
-    /** The part of the longest wait that is left when a request is in danger of its deadline. */
-    private static final double DANGER_SHARE = 0.25;
+    /** The fraction of the longest wait below which a request counts as near its deadline. */
+    private static final double NEAR_DEADLINE_FRACTION = 0.25;
 
-    /** The part of the target for the first token after which a waiting request presses. */
-    private static final double PRESSING_SHARE = 0.5;
+    /** The fraction of the first-token target after which a waiting request is urgent. */
+    private static final double URGENT_WAIT_FRACTION = 0.5;
 
-    /** The waiting requests. */
-    private final CustomerQueues lines;
+    private final CustomerQueues customerQueues;
 
-    /** The requests by deadline; those that left are dropped when they come up. */
+    /** The requests by deadline, including stale entries of requests that have left the queue. */
     private final PriorityQueue<QueuedRequest> deadlines =
             new PriorityQueue<>(Comparator.comparingLong(QueuedRequest::deadlineMillis));
 
-    /** The class. */
     private ServiceClass serviceClass;
 
-    /** The guaranteed starts that are not used yet. */
+    /** The guaranteed starts earned and not yet used. */
     private double credit;
 
-    /** The monotonic time of the last start, or of the arrival that ended idleness if that was later. */
-    private long servedAtMillis;
+    /** The monotonic time of the last start, or of the arrival that ended an idle period if that is later. */
+    private long lastServedMillis;
 
-    /**
-     * Creates a queue.
-     *
-     * @param serviceClass The class.
-     * @param lines The lines of its customers.
-     */
-    ClassQueue(ServiceClass serviceClass, CustomerQueues lines) {
+    ClassQueue(ServiceClass serviceClass, CustomerQueues customerQueues) {
         this.serviceClass = serviceClass;
-        this.lines = lines;
+        this.customerQueues = customerQueues;
     }
 
-    /**
-     * Replaces the class.
-     *
-     * @param replacement The class.
-     */
     void configure(ServiceClass replacement) {
         serviceClass = replacement;
     }
 
-    /**
-     * Returns the class.
-     *
-     * @return The class.
-     */
     ServiceClass serviceClass() {
         return serviceClass;
     }
 
-    /**
-     * Returns the lines of the customers.
-     *
-     * @return The lines.
-     */
-    CustomerQueues lines() {
-        return lines;
+    CustomerQueues customerQueues() {
+        return customerQueues;
     }
 
-    /**
-     * Returns the requests by deadline, among them such as left.
-     *
-     * @return The requests.
-     */
+    /** Returns the requests by deadline, including stale entries of requests that have left the queue. */
     PriorityQueue<QueuedRequest> deadlines() {
         return deadlines;
     }
 
-    /**
-     * Adds a request.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param request The request.
-     */
     void add(long nowMillis, QueuedRequest request) {
-        if (lines.size() == 0) {
-            servedAtMillis = nowMillis;
+        if (customerQueues.size() == 0) {
+            lastServedMillis = nowMillis;
         }
-        lines.add(request);
+        customerQueues.add(request);
         deadlines.add(request);
     }
 
-    /**
-     * Returns what the class needs.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The need.
-     */
-    GuaranteedSharePolicy.ClassNeed need(long nowMillis) {
-        boolean starved = nowMillis - servedAtMillis >= serviceClass.firstTokenTargetMillis();
+    GuaranteedSharePolicy.ShareClaim claim(long nowMillis) {
+        boolean starved = nowMillis - lastServedMillis >= serviceClass.firstTokenTargetMillis();
         long waitedMillis = nowMillis - deadlines.peek().arrivedAtMillis();
-        boolean pressing = waitedMillis >= PRESSING_SHARE * serviceClass.firstTokenTargetMillis();
-        return new GuaranteedSharePolicy.ClassNeed(credit, pressing, starved);
+        boolean urgent = waitedMillis >= URGENT_WAIT_FRACTION * serviceClass.firstTokenTargetMillis();
+        return new GuaranteedSharePolicy.ShareClaim(credit, urgent, starved);
     }
 
-    /** Notes a start of any class on a target that this class waits for. */
-    void earn() {
-        credit = Math.min(CREDIT_LIMIT, credit + serviceClass.guaranteedShare());
+    /** Credits the class for a start, of any class, on a target that this class waits for. */
+    void accrueCredit() {
+        credit = Math.min(MAXIMUM_CREDIT, credit + serviceClass.guaranteedShare());
     }
 
-    /**
-     * Notes a start of this class.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     */
+    /** Charges the class for the start of one of its requests. */
     void started(long nowMillis) {
         credit = Math.max(0, credit - 1);
-        servedAtMillis = nowMillis;
-        if (lines.size() == 0) {
+        lastServedMillis = nowMillis;
+        if (customerQueues.size() == 0) {
             credit = 0;
         }
     }
 
-    /**
-     * Tells whether a waiting request is close to its deadline.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return Whether one is.
-     */
-    boolean isInDanger(long nowMillis) {
-        if (lines.size() == 0 || deadlines.isEmpty()) {
+    /** Returns whether the waiting request with the earliest deadline is close to that deadline. */
+    boolean isNearDeadline(long nowMillis) {
+        if (customerQueues.size() == 0 || deadlines.isEmpty()) {
             return false;
         }
-        long left = deadlines.peek().deadlineMillis() - nowMillis;
-        return left < DANGER_SHARE * serviceClass.longestWaitMillis();
+        long remainingMillis = deadlines.peek().deadlineMillis() - nowMillis;
+        return remainingMillis < NEAR_DEADLINE_FRACTION * serviceClass.longestWaitMillis();
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/CustomerQueues.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/CustomerQueues.java
@@ -7,54 +7,48 @@
 import java.util.function.Predicate;
 
 /**
- * The waiting requests of one class, in the order in which its customers are served.
+ * The waiting requests of one service class, ordered by the customer to serve next.
  *
- * <p>Implementations are used by one thread at a time.
+ * <p>Implementations are not thread-safe; callers serialize access.
  */
 public interface CustomerQueues {
 
-    /**
-     * Adds a request.
-     *
-     * @param request The request.
-     */
+    /** Adds a waiting request. */
     void add(QueuedRequest request);
 
     /**
-     * Takes the request that starts next.
+     * Dequeues the request to start next.
      *
-     * @param canStart Tells whether a request could start now.
-     * @return The request, or null if none can start.
+     * @param canStart Returns whether a request could start now.
+     * @return The request, or {@code null} if none can start.
      */
     QueuedRequest next(Predicate<QueuedRequest> canStart);
 
     /**
-     * Finds the request for a target that would start next.
+     * Returns the request for a target that would start next.
      *
-     * @param target The model or service.
-     * @return The request, or null if none waits.
+     * @return The request, or {@code null} if none is waiting.
      */
     QueuedRequest first(String target);
 
     /**
-     * Removes a request.
+     * Removes a waiting request.
      *
-     * @param request The request.
-     * @return Whether it was waiting.
+     * @return {@code true} if the request was waiting.
      */
     boolean remove(QueuedRequest request);
 
     /**
-     * Finds the request that is shed first.
+     * Returns the request to shed first.
      *
-     * @return The request, or null if none waits.
+     * @return The request, or {@code null} if none is waiting.
      */
-    QueuedRequest shedFirst();
+    QueuedRequest shedCandidate();
 
     /**
      * Estimates the work of this class that starts before a new request.
      *
-     * @param request The new request, which doesn't wait yet.
+     * @param request The new request, which is not in the queue yet.
      * @return The work in tokens.
      */
     long tokensAhead(QueuedRequest request);
@@ -62,48 +56,36 @@
     /**
      * Returns the work that waits for a target.
      *
-     * @param target The model or service.
      * @return The work in tokens.
      */
     long waitingTokens(String target);
 
-    /**
-     * Returns the number of requests that wait for a target.
-     *
-     * @param target The model or service.
-     * @return The number.
-     */
+    /** Returns the number of requests that wait for a target. */
     int waiting(String target);
 
-    /**
-     * Returns the number of waiting requests.
-     *
-     * @return The number.
-     */
+    /** Returns the number of waiting requests. */
     int size();
 
     /**
-     * Corrects the account of a customer.
+     * Corrects the charge of a customer once the actual cost of a request is known.
      *
-     * @param request The request as it was queued.
      * @param actualTokens The actual cost in tokens.
      */
-    void correct(QueuedRequest request, long actualTokens);
+    void correctCharge(QueuedRequest request, long actualTokens);
 
     /**
-     * Serves requests in the order of arrival, whoever sent them.
+     * Serves requests in order of arrival, regardless of the customer.
      *
-     * <p>Used by one thread at a time.
+     * <p>Not thread-safe; callers serialize access.
      */
     final class FirstInFirstOut implements CustomerQueues {
 
-        /** The requests by target. */
         private final Map<String, Deque<QueuedRequest>> byTarget = new HashMap<>();
 
-        /** The waiting work by target in tokens. */
+        /** The waiting work in tokens by target. */
         private final Map<String, Long> waitingTokens = new HashMap<>();
 
-        /** The number of waiting requests. */
+        /** The number of waiting requests, over all targets. */
         private int size;
 
         @Override
@@ -148,7 +130,7 @@
         }
 
         @Override
-        public QueuedRequest shedFirst() {
+        public QueuedRequest shedCandidate() {
             QueuedRequest newest = null;
             for (Deque<QueuedRequest> waiting : byTarget.values()) {
                 QueuedRequest last = waiting.peekLast();
@@ -181,8 +163,8 @@
         }
 
         @Override
-        public void correct(QueuedRequest request, long actualTokens) {
-            // The order of arrival needs no account.
+        public void correctCharge(QueuedRequest request, long actualTokens) {
+            // The order of arrival does not depend on charges.
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/DrainRate.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/DrainRate.java
@@ -1,32 +1,31 @@
 package org.cranberrygauge.decision.admission;
 
 /**
- * The rate at which a target takes work while requests wait for it.
+ * Measures the rate at which a target takes queued work.
  *
- * <p>Invariants: only periods in which something waited count; the rate is unknown until the first such period is over.
- * Used by one thread at a time.
+ * <p>Invariants: only periods with a non-empty queue are measured; the rate is unknown until the first such period has
+ * ended. Not thread-safe; callers serialize access.
  */
 final class DrainRate {
 
     /** The length of one measurement in milliseconds. */
-    private static final long PERIOD_MILLIS = 1_000;
+    private static final long MEASUREMENT_PERIOD_MILLIS = 1_000;
 
-    /** The weight of the newest period. */
+    /** The weight of the newest measurement in the moving average. */
     private static final double SMOOTHING = 0.3;
 
-    /** The smoothed rate in tokens a millisecond; 0 while unknown. */
+    /** The smoothed rate in tokens per millisecond; 0 while unknown. */
     private double tokensPerMilli;
 
-    /** The work started in the present period in tokens. */
+    /** The work started in the current measurement period, in tokens. */
     private long startedTokens;
 
-    /** The beginning of the present period; negative while nothing waits. */
+    /** The start of the current measurement period; negative while the queue is empty. */
     private long periodStartMillis = -1;
 
     /**
-     * Notes what waits, before a start or an arrival.
+     * Updates the measurement with the current backlog, before a start or an arrival.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
      * @param waitingTokens The work that waits in tokens.
      */
     void observe(long nowMillis, long waitingTokens) {
@@ -40,7 +39,7 @@
             return;
         }
         long elapsed = nowMillis - periodStartMillis;
-        if (elapsed >= PERIOD_MILLIS) {
+        if (elapsed >= MEASUREMENT_PERIOD_MILLIS) {
             double rate = (double) startedTokens / elapsed;
             tokensPerMilli = tokensPerMilli == 0 ? rate : tokensPerMilli + SMOOTHING * (rate - tokensPerMilli);
             periodStartMillis = nowMillis;
@@ -49,7 +48,7 @@
     }
 
     /**
-     * Notes a start.
+     * Adds started work to the current measurement.
      *
      * @param tokens The work in tokens.
      */
@@ -58,7 +57,7 @@
     }
 
     /**
-     * Forecasts how long work takes to drain.
+     * Predicts how long it takes to drain an amount of work.
      *
      * @param tokens The work in tokens.
      * @return The time in milliseconds; 0 while the rate is unknown.
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/FirstInFirstOutQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/FirstInFirstOutQueue.java
@@ -10,22 +10,21 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * Serves requests in the order of arrival, whatever their class: a baseline.
+ * Serves requests in order of arrival, regardless of class and customer. A baseline for comparison.
  *
- * <p>Used by one thread at a time.
+ * <p>Not thread-safe; callers serialize access.
  */
 public final class FirstInFirstOutQueue implements AdmissionQueue {
 
-    /** The time that a refused caller is told to wait in milliseconds. */
-    private static final long RETRY_MILLIS = 1_000;
+    /** The retry delay that refused callers are told, in milliseconds. */
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    /** The waiting requests in the order of arrival. */
-    private final CustomerQueues lines = new CustomerQueues.FirstInFirstOut();
+    /** The waiting requests in order of arrival. */
+    private final CustomerQueues queues = new CustomerQueues.FirstInFirstOut();
 
-    /** The waiting requests by identifier. */
     private final Map<Long, QueuedRequest> waiting = new HashMap<>();
 
-    /** The number of requests that may wait. */
+    /** The number of requests that may wait, over all classes. */
     private int limit;
 
     @Override
@@ -38,7 +37,7 @@
         if (waiting.size() >= limit) {
             return List.of(refusal(request));
         }
-        lines.add(request);
+        queues.add(request);
         waiting.put(request.requestId(), request);
         return List.of();
     }
@@ -50,7 +49,7 @@
 
     @Override
     public Optional<QueueStart> next(long nowMillis, Predicate<QueuedRequest> canStart) {
-        QueuedRequest request = lines.next(canStart);
+        QueuedRequest request = queues.next(canStart);
         if (request != null) {
             waiting.remove(request.requestId());
         }
@@ -72,12 +71,12 @@
     @Override
     public boolean remove(long requestId) {
         QueuedRequest request = waiting.remove(requestId);
-        return request != null && lines.remove(request);
+        return request != null && queues.remove(request);
     }
 
     @Override
     public void finished(QueuedRequest request, long actualTokens) {
-        // The order of arrival needs no account.
+        // The order of arrival does not depend on charges.
     }
 
     @Override
@@ -97,21 +96,15 @@
 
     @Override
     public long waitingTokens(String target) {
-        return lines.waitingTokens(target);
+        return queues.waitingTokens(target);
     }
 
     @Override
     public QueuedRequest first(String target) {
-        return lines.first(target);
+        return queues.first(target);
     }
 
-    /**
-     * Builds a refusal.
-     *
-     * @param request The request.
-     * @return The refusal.
-     */
     private static Refusal refusal(QueuedRequest request) {
-        return new Refusal(request.requestId(), ErrorCode.OVERLOADED, RETRY_MILLIS);
+        return new Refusal(request.requestId(), ErrorCode.OVERLOADED, RETRY_AFTER_MILLIS);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/GuaranteedSharePolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/GuaranteedSharePolicy.java
@@ -1,67 +1,62 @@
 package org.cranberrygauge.decision.admission;
 
 /**
- * Decides whether a class starts a request before higher tiers.
+ * Decides whether a class may start a request ahead of higher tiers by its guaranteed share.
  *
- * <p>Implementations are stateless and safe for use by several threads.
+ * <p>Implementations are stateless and thread-safe.
  */
 public interface GuaranteedSharePolicy {
 
-    /** The credit from which a class is owed a start. */
-    double CREDIT_OF_START = 1;
+    /** The credit that entitles a class to one start. */
+    double CREDIT_PER_START = 1;
 
     /**
-     * Tells whether a class is owed a start now.
+     * Returns whether a class may start a request ahead of higher tiers now.
      *
-     * @param need What the class needs.
-     * @param higherInDanger Whether a higher tier has a request close to its deadline.
-     * @return Whether the class goes first.
+     * @param higherTierNearDeadline Whether a higher tier has a request close to its deadline.
      */
-    boolean isOwed(ClassNeed need, boolean higherInDanger);
+    boolean isEntitled(ShareClaim claim, boolean higherTierNearDeadline);
 
     /**
-     * Grants the share to a class that would else miss its target, unless a higher tier is in danger, and one start to a
-     * starved class in any case.
+     * Grants the share to a class that would otherwise miss its target, unless a higher tier is near a deadline. A
+     * starved class always gets one start.
      */
     enum Deferring implements GuaranteedSharePolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
-        public boolean isOwed(ClassNeed need, boolean higherInDanger) {
-            boolean earned = need.credit() >= CREDIT_OF_START && need.pressing();
-            return need.starved() || earned && !higherInDanger;
+        public boolean isEntitled(ShareClaim claim, boolean higherTierNearDeadline) {
+            boolean earnedAndUrgent = claim.credit() >= CREDIT_PER_START && claim.urgent();
+            return claim.starved() || earnedAndUrgent && !higherTierNearDeadline;
         }
     }
 
-    /** Grants the share whatever the higher tiers suffer. */
+    /** Grants the share regardless of the state of higher tiers. */
     enum Strict implements GuaranteedSharePolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
-        public boolean isOwed(ClassNeed need, boolean higherInDanger) {
-            return need.credit() >= CREDIT_OF_START;
+        public boolean isEntitled(ShareClaim claim, boolean higherTierNearDeadline) {
+            return claim.credit() >= CREDIT_PER_START;
         }
     }
 
-    /** Grants no share: strict priority. */
+    /** Grants no share, which is strict priority by tier. */
     enum Disabled implements GuaranteedSharePolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
-        public boolean isOwed(ClassNeed need, boolean higherInDanger) {
+        public boolean isEntitled(ShareClaim claim, boolean higherTierNearDeadline) {
             return false;
         }
     }
 
     /**
-     * What a class needs.
+     * The claim of a class to its guaranteed share.
      *
-     * @param credit The guaranteed starts that it has not used yet.
-     * @param pressing Whether a request has waited for a good part of the target.
-     * @param starved Whether the class had no start for longer than its bound.
+     * @param credit The guaranteed starts earned and not yet used.
+     * @param urgent Whether a request has waited for a large part of its first-token target.
+     * @param starved Whether the class has had no start for longer than its first-token target.
      */
-    record ClassNeed(double credit, boolean pressing, boolean starved) {}
+    record ShareClaim(double credit, boolean urgent, boolean starved) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/QueuedRequest.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/QueuedRequest.java
@@ -3,14 +3,10 @@
 /**
  * A request that waits for a start.
  *
- * @param requestId The identifier of the request.
- * @param customer The name of the customer.
- * @param customerWeight The weight of the customer.
- * @param className The name of the class.
  * @param target The model or service.
  * @param estimatedTokens The estimated cost in tokens, prompt and output.
- * @param arrivedAtMillis The monotonic time of its arrival.
- * @param deadlineMillis The monotonic time after which it is refused.
+ * @param arrivedAtMillis The monotonic time of arrival, in milliseconds.
+ * @param deadlineMillis The monotonic time after which the request is refused, in milliseconds.
  */
 public record QueuedRequest(
         long requestId,
@@ -22,12 +18,7 @@
         long arrivedAtMillis,
         long deadlineMillis) {
 
-    /**
-     * Replaces the deadline, for a request that waits again after its backend server failed.
-     *
-     * @param replacementMillis The monotonic time after which it is refused.
-     * @return The refined request.
-     */
+    /** Returns a copy with another deadline, for a request that is queued again after its backend server failed. */
     public QueuedRequest withDeadline(long replacementMillis) {
         return new QueuedRequest(
                 requestId,
@@ -41,13 +32,11 @@
     }
 
     /**
-     * Refines the request for a further attempt, whose wait counts from now.
+     * Returns a copy for a further attempt, with a new arrival time and the same longest wait.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param remainingTokens The estimated cost of what is left in tokens.
-     * @return The refined request.
+     * @param remainingTokens The estimated cost of the remaining work in tokens.
      */
-    public QueuedRequest again(long nowMillis, long remainingTokens) {
+    public QueuedRequest forNextAttempt(long nowMillis, long remainingTokens) {
         long longestWaitMillis = deadlineMillis - arrivedAtMillis;
         return new QueuedRequest(
                 requestId,
@@ -61,7 +50,7 @@
     }
 
     /**
-     * Returns the cost by which it is queued.
+     * Returns the cost used for scheduling.
      *
      * @return The estimated cost in tokens, at least one.
      */
@@ -69,12 +58,7 @@
         return Math.max(1, estimatedTokens);
     }
 
-    /**
-     * Replaces the estimated cost.
-     *
-     * @param tokens The cost in tokens.
-     * @return The refined request.
-     */
+    /** Returns a copy with another estimated cost. */
     public QueuedRequest withEstimatedTokens(long tokens) {
         return new QueuedRequest(
                 requestId, customer, customerWeight, className, target, tokens, arrivedAtMillis, deadlineMillis);
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/Refusal.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/Refusal.java
@@ -3,10 +3,9 @@
 import org.cranberrygauge.model.error.ErrorCode;
 
 /**
- * A final refusal of a request that was not run.
+ * The final refusal of a request that was not run.
  *
- * @param requestId The identifier of the request.
- * @param code The reason.
- * @param retryAfterMillis The time after which a new try makes sense in milliseconds.
+ * @param code The reason for the refusal.
+ * @param retryAfterMillis The time after which a retry is sensible, in milliseconds.
  */
 public record Refusal(long requestId, ErrorCode code, long retryAfterMillis) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/TieredAdmissionQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/TieredAdmissionQueue.java
@@ -11,48 +11,42 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * Serves higher tiers first, and each class at least its guaranteed share of starts.
+ * Serves higher tiers first while giving each class at least its guaranteed share of starts.
  *
- * <p>Invariants: all classes share one bound, and a full queue sheds from the lowest tier that waits, never a higher tier
- * for a lower one; a guaranteed share delays a higher tier and never sheds it; a request that can't start in time even if
- * its tier gets all capacity is refused at once. Used by one thread at a time.
+ * <p>Invariants: all classes share one bound on the queue length, and a full queue sheds from the lowest waiting tier,
+ * never a higher tier in favour of a lower one; a guaranteed share delays a higher tier but never sheds its requests; a
+ * request that could not start in time even if its tier got all capacity is refused at once. Not thread-safe; callers
+ * serialize access.
  */
 public final class TieredAdmissionQueue implements AdmissionQueue {
 
-    /** The shortest time that a refused caller is told to wait in milliseconds. */
-    private static final long SHORTEST_RETRY_MILLIS = 1_000;
+    /** The shortest retry delay that refused callers are told, in milliseconds. */
+    private static final long MINIMUM_RETRY_AFTER_MILLIS = 1_000;
 
-    /** The longest time that a refused caller is told to wait in milliseconds. */
-    private static final long LONGEST_RETRY_MILLIS = 60_000;
+    /** The longest retry delay that refused callers are told, in milliseconds. */
+    private static final long MAXIMUM_RETRY_AFTER_MILLIS = 60_000;
 
-    /** The rules. */
     private final AdmissionPolicy policy;
 
-    /** The queues by class. */
     private final Map<String, ClassQueue> queues = new HashMap<>();
 
-    /** The waiting requests by identifier. */
     private final Map<Long, QueuedRequest> waiting = new HashMap<>();
 
-    /** The rates by target. */
+    /** The drain rates by target. */
     private final Map<String, DrainRate> drainRates = new HashMap<>();
 
-    /** The queues in the order of their tiers. */
+    /** The class queues, highest tier first. */
     private List<ClassQueue> byTier = List.of();
 
     /** The number of requests that may wait, over all classes. */
     private int limit;
 
-    /** Creates a queue with the rules that gateways use. */
+    /** Creates a queue with the policies used by gateways. */
     public TieredAdmissionQueue() {
         this(AdmissionPolicy.standard());
     }
 
-    /**
-     * Creates a queue.
-     *
-     * @param policy The rules.
-     */
+    /** Creates a queue with the given policies. */
     public TieredAdmissionQueue(AdmissionPolicy policy) {
         this.policy = policy;
     }
@@ -62,10 +56,12 @@
         for (ServiceClass serviceClass : classes) {
             queues.computeIfAbsent(
                             serviceClass.name(),
-                            name -> new ClassQueue(serviceClass, policy.lines().get()))
+                            name -> new ClassQueue(
+                                    serviceClass, policy.customerQueues().get()))
                     .configure(serviceClass);
         }
-        queues.values().removeIf(queue -> queue.lines().size() == 0 && !classes.contains(queue.serviceClass()));
+        queues.values()
+                .removeIf(queue -> queue.customerQueues().size() == 0 && !classes.contains(queue.serviceClass()));
         byTier = queues.values().stream()
                 .sorted(Comparator.comparingInt(
                                 (ClassQueue queue) -> queue.serviceClass().tier())
@@ -78,7 +74,7 @@
     public List<Refusal> offer(long nowMillis, QueuedRequest request) {
         ClassQueue queue = queues.get(request.className());
         if (queue == null) {
-            return List.of(new Refusal(request.requestId(), ErrorCode.FORBIDDEN, SHORTEST_RETRY_MILLIS));
+            return List.of(new Refusal(request.requestId(), ErrorCode.FORBIDDEN, MINIMUM_RETRY_AFTER_MILLIS));
         }
         drainRate(request.target()).observe(nowMillis, waitingTokens(request.target()));
         long waitMillis = forecastMillis(queue, request);
@@ -93,29 +89,29 @@
     public List<Refusal> resume(long nowMillis, QueuedRequest request) {
         ClassQueue queue = queues.get(request.className());
         if (queue == null) {
-            return List.of(new Refusal(request.requestId(), ErrorCode.FORBIDDEN, SHORTEST_RETRY_MILLIS));
+            return List.of(new Refusal(request.requestId(), ErrorCode.FORBIDDEN, MINIMUM_RETRY_AFTER_MILLIS));
         }
         return add(nowMillis, queue, request);
     }
 
     @Override
     public Optional<QueueStart> next(long nowMillis, Predicate<QueuedRequest> canStart) {
-        boolean higherInDanger = false;
+        boolean higherTierNearDeadline = false;
         for (ClassQueue queue : byTier) {
-            if (queue.lines().size() == 0) {
+            if (queue.customerQueues().size() == 0) {
                 continue;
             }
-            dropLeft(queue);
-            if (policy.shares().isOwed(queue.need(nowMillis), higherInDanger)) {
-                QueuedRequest owed = queue.lines().next(canStart);
-                if (owed != null) {
-                    return Optional.of(new QueueStart(started(nowMillis, queue, owed), true));
+            removeStaleDeadlines(queue);
+            if (policy.shares().isEntitled(queue.claim(nowMillis), higherTierNearDeadline)) {
+                QueuedRequest guaranteed = queue.customerQueues().next(canStart);
+                if (guaranteed != null) {
+                    return Optional.of(new QueueStart(started(nowMillis, queue, guaranteed), true));
                 }
             }
-            higherInDanger |= queue.isInDanger(nowMillis);
+            higherTierNearDeadline |= queue.isNearDeadline(nowMillis);
         }
         for (ClassQueue queue : byTier) {
-            QueuedRequest request = queue.lines().next(canStart);
+            QueuedRequest request = queue.customerQueues().next(canStart);
             if (request != null) {
                 return Optional.of(new QueueStart(started(nowMillis, queue, request), false));
             }
@@ -127,12 +123,12 @@
     public List<Refusal> expire(long nowMillis) {
         List<Refusal> refusals = new ArrayList<>();
         for (ClassQueue queue : byTier) {
-            dropLeft(queue);
+            removeStaleDeadlines(queue);
             while (!queue.deadlines().isEmpty() && queue.deadlines().peek().deadlineMillis() <= nowMillis) {
                 QueuedRequest expired = queue.deadlines().remove();
                 remove(expired.requestId());
                 refusals.add(refuse(expired));
-                dropLeft(queue);
+                removeStaleDeadlines(queue);
             }
         }
         return refusals;
@@ -141,34 +137,35 @@
     @Override
     public boolean remove(long requestId) {
         QueuedRequest request = waiting.remove(requestId);
-        return request != null && queues.get(request.className()).lines().remove(request);
+        return request != null
+                && queues.get(request.className()).customerQueues().remove(request);
     }
 
     @Override
     public void finished(QueuedRequest request, long actualTokens) {
         ClassQueue queue = queues.get(request.className());
         if (queue != null) {
-            queue.lines().correct(request, actualTokens);
+            queue.customerQueues().correctCharge(request, actualTokens);
         }
     }
 
     @Override
     public int waiting(String className) {
         ClassQueue queue = queues.get(className);
-        return queue == null ? 0 : queue.lines().size();
+        return queue == null ? 0 : queue.customerQueues().size();
     }
 
     @Override
     public int waiting(String className, String target) {
         ClassQueue queue = queues.get(className);
-        return queue == null ? 0 : queue.lines().waiting(target);
+        return queue == null ? 0 : queue.customerQueues().waiting(target);
     }
 
     @Override
     public long waitingTokens(String target) {
         long tokens = 0;
         for (ClassQueue queue : byTier) {
-            tokens += queue.lines().waitingTokens(target);
+            tokens += queue.customerQueues().waitingTokens(target);
         }
         return tokens;
     }
@@ -176,7 +173,7 @@
     @Override
     public QueuedRequest first(String target) {
         for (ClassQueue queue : byTier) {
-            QueuedRequest first = queue.lines().first(target);
+            QueuedRequest first = queue.customerQueues().first(target);
             if (first != null) {
                 return first;
             }
@@ -185,12 +182,9 @@
     }
 
     /**
-     * Adds a request, and sheds one of the lowest tier if the queue is full.
+     * Adds a request and, if the queue is then full, sheds one of the lowest tier.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param queue The queue of its class.
-     * @param request The request.
-     * @return The refusal of the request that was shed.
+     * @return The refusal of the shed request.
      */
     private List<Refusal> add(long nowMillis, ClassQueue queue, QueuedRequest request) {
         queue.add(nowMillis, request);
@@ -198,17 +192,13 @@
         if (waiting.size() <= limit) {
             return List.of();
         }
-        QueuedRequest shed = lowestTier().lines().shedFirst();
+        QueuedRequest shed = lowestTier().customerQueues().shedCandidate();
         remove(shed.requestId());
         return List.of(refuse(shed));
     }
 
-    /**
-     * Drops the requests that left the queue from the front of its deadlines.
-     *
-     * @param queue The queue.
-     */
-    private void dropLeft(ClassQueue queue) {
+    /** Removes stale entries from the head of a queue's deadlines. */
+    private void removeStaleDeadlines(ClassQueue queue) {
         while (!queue.deadlines().isEmpty()) {
             QueuedRequest first = queue.deadlines().peek();
             if (waiting.get(first.requestId()) == first) {
@@ -218,19 +208,12 @@
         }
     }
 
-    /**
-     * Accounts for a start.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param started The queue of the request.
-     * @param request The request that starts.
-     * @return The request.
-     */
+    /** Removes a started request and updates credits and the drain rate. */
     private QueuedRequest started(long nowMillis, ClassQueue started, QueuedRequest request) {
         waiting.remove(request.requestId());
         for (ClassQueue queue : byTier) {
-            if (queue == started || queue.lines().waitingTokens(request.target()) > 0) {
-                queue.earn();
+            if (queue == started || queue.customerQueues().waitingTokens(request.target()) > 0) {
+                queue.accrueCredit();
             }
         }
         started.started(nowMillis);
@@ -241,67 +224,43 @@
     }
 
     /**
-     * Forecasts the wait of a new request if its tier and those above get all capacity.
+     * Predicts the wait of a new request, assuming that its tier and those above get all capacity.
      *
-     * @param queue The queue of its class.
-     * @param request The request.
      * @return The wait in milliseconds.
      */
     private long forecastMillis(ClassQueue queue, QueuedRequest request) {
-        long ahead = queue.lines().tokensAhead(request);
+        long ahead = queue.customerQueues().tokensAhead(request);
         for (ClassQueue other : byTier) {
             if (other != queue
                     && other.serviceClass().tier() <= queue.serviceClass().tier()) {
-                ahead += other.lines().waitingTokens(request.target());
+                ahead += other.customerQueues().waitingTokens(request.target());
             }
         }
         return drainRate(request.target()).drainMillis(ahead);
     }
 
-    /**
-     * Finds the queue of the lowest tier that waits.
-     *
-     * @return The queue.
-     */
+    /** Returns the queue of the lowest tier with waiting requests. */
     private ClassQueue lowestTier() {
         ClassQueue lowest = byTier.get(0);
         for (ClassQueue queue : byTier) {
-            if (queue.lines().size() > 0) {
+            if (queue.customerQueues().size() > 0) {
                 lowest = queue;
             }
         }
         return lowest;
     }
 
-    /**
-     * Returns the rate of a target.
-     *
-     * @param target The model or service.
-     * @return The rate.
-     */
     private DrainRate drainRate(String target) {
         return drainRates.computeIfAbsent(target, name -> new DrainRate());
     }
 
-    /**
-     * Refuses a request with the time that the present queue needs to drain.
-     *
-     * @param request The request.
-     * @return The refusal.
-     */
+    /** Refuses a request and tells its caller to retry once the current queue has drained. */
     private Refusal refuse(QueuedRequest request) {
         return refusal(request, drainRate(request.target()).drainMillis(waitingTokens(request.target())));
     }
 
-    /**
-     * Builds a refusal.
-     *
-     * @param request The request.
-     * @param retryAfterMillis The time after which a new try makes sense in milliseconds.
-     * @return The refusal.
-     */
     private static Refusal refusal(QueuedRequest request, long retryAfterMillis) {
-        long bounded = Math.min(LONGEST_RETRY_MILLIS, Math.max(SHORTEST_RETRY_MILLIS, retryAfterMillis));
+        long bounded = Math.min(MAXIMUM_RETRY_AFTER_MILLIS, Math.max(MINIMUM_RETRY_AFTER_MILLIS, retryAfterMillis));
         return new Refusal(request.requestId(), ErrorCode.OVERLOADED, bounded);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/WaitLimit.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/WaitLimit.java
@@ -3,23 +3,21 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * Decides up to which forecast wait a request is taken in.
+ * Bounds the predicted wait with which a request is admitted.
  *
- * <p>Implementations are stateless and safe for use by several threads.
+ * <p>Implementations are stateless and thread-safe.
  */
 public interface WaitLimit {
 
     /**
-     * Returns the longest forecast wait with which a request is taken in.
+     * Returns the longest predicted wait with which a request of a class is admitted.
      *
-     * @param serviceClass The class of the request.
      * @return The wait in milliseconds.
      */
     long limitMillis(ServiceClass serviceClass);
 
-    /** Takes in what can start before its deadline. */
+    /** Admits requests that can start before their deadline. */
     enum Deadline implements WaitLimit {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -28,24 +26,22 @@
         }
     }
 
-    /** Takes in what can still meet the target of its class. */
+    /** Admits requests that can still meet the first-token target of their class. */
     enum Target implements WaitLimit {
-        /** The only instance. */
         INSTANCE;
 
-        /** The part of the target that may pass before the start, so that reading the prompt fits into the rest. */
-        private static final double USABLE_SHARE = 0.4;
+        /** The fraction of the first-token target that may pass in the queue; the rest is left for prefill. */
+        private static final double QUEUEING_FRACTION = 0.4;
 
         @Override
         public long limitMillis(ServiceClass serviceClass) {
-            long usable = Math.round(USABLE_SHARE * serviceClass.firstTokenTargetMillis());
+            long usable = Math.round(QUEUEING_FRACTION * serviceClass.firstTokenTargetMillis());
             return Math.min(serviceClass.longestWaitMillis(), usable);
         }
     }
 
-    /** Takes in everything. */
+    /** Admits every request. */
     enum Disabled implements WaitLimit {
-        /** The only instance. */
         INSTANCE;
 
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/WeightedFairQueues.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/WeightedFairQueues.java
@@ -9,61 +9,61 @@
 import java.util.function.Predicate;
 
 /**
- * Serves customers by weighted fair queueing over tokens.
+ * Schedules customers by weighted fair queueing over tokens.
  *
- * <p>Invariants: the virtual time of a customer that comes back from idleness is raised to that of the class, so that
- * it can't save up service; requests of one customer for one target start in the order of arrival; each operation
- * takes time logarithmic in the number of customers. Used by one thread at a time.
+ * <p>Invariants: the virtual time of a customer that returns from idleness is raised to the virtual time of the class,
+ * so that it cannot save up service; requests of one customer for one target start in order of arrival; each operation
+ * takes time logarithmic in the number of customers. Not thread-safe; callers serialize access.
  */
 public final class WeightedFairQueues implements CustomerQueues {
 
-    /** The number of customers that are tried for a target before it counts as unable to start any. */
-    private static final int CUSTOMERS_TRIED = 4;
+    /** The number of customers tried for a target before the target counts as unable to start any request. */
+    private static final int MAXIMUM_CUSTOMERS_TRIED = 4;
 
-    /** The order of service. */
-    private static final Comparator<Line> BY_SERVICE =
-            Comparator.<Line>comparingDouble(line -> line.virtualTime).thenComparing(line -> line.customer);
+    /** The scheduling order: least served customer first. */
+    private static final Comparator<CustomerQueue> BY_VIRTUAL_TIME = Comparator.<CustomerQueue>comparingDouble(
+                    queue -> queue.virtualTime)
+            .thenComparing(queue -> queue.customer);
 
-    /** The order of shedding. */
-    private static final Comparator<Line> BY_BACKLOG = Comparator.<Line>comparingDouble(
-                    line -> (double) line.tokens / line.weight)
-            .thenComparing(line -> line.customer);
+    /** The shedding order: the last customer, with the largest backlog relative to its weight, sheds first. */
+    private static final Comparator<CustomerQueue> BY_BACKLOG = Comparator.<CustomerQueue>comparingDouble(
+                    queue -> (double) queue.tokens / queue.weight)
+            .thenComparing(queue -> queue.customer);
 
-    /** The lines by customer. */
-    private final Map<String, Line> lines = new HashMap<>();
+    private final Map<String, CustomerQueue> queues = new HashMap<>();
 
-    /** The lines that wait for each target, least served first. */
-    private final Map<String, TreeSet<Line>> ready = new HashMap<>();
+    /** The customers with requests for each target, in scheduling order. */
+    private final Map<String, TreeSet<CustomerQueue>> ready = new HashMap<>();
 
-    /** The lines that wait for anything, smallest backlog first. */
-    private final TreeSet<Line> backlog = new TreeSet<>(BY_BACKLOG);
+    /** The customers with any waiting request, ordered by backlog. */
+    private final TreeSet<CustomerQueue> backlog = new TreeSet<>(BY_BACKLOG);
 
-    /** The waiting work by target in tokens. */
+    /** The waiting work in tokens by target. */
     private final Map<String, Long> waitingTokens = new HashMap<>();
 
     /** The number of waiting requests by target. */
     private final Map<String, Integer> waitingCounts = new HashMap<>();
 
-    /** The virtual time of the last start. */
+    /** The virtual time at the last start. */
     private double virtualTime;
 
-    /** The number of waiting requests. */
+    /** The number of waiting requests, over all targets. */
     private int size;
 
-    /** The sum of the weights of the customers that wait. */
+    /** The total weight of the customers with waiting requests. */
     private long activeWeight;
 
     @Override
     public void add(QueuedRequest request) {
-        Line line = lines.computeIfAbsent(request.customer(), Line::new);
-        detach(line);
-        line.weight = Math.max(1, request.customerWeight());
-        if (line.tokens == 0) {
-            line.virtualTime = Math.max(line.virtualTime, virtualTime);
+        CustomerQueue queue = queues.computeIfAbsent(request.customer(), CustomerQueue::new);
+        detach(queue);
+        queue.weight = Math.max(1, request.customerWeight());
+        if (queue.tokens == 0) {
+            queue.virtualTime = Math.max(queue.virtualTime, virtualTime);
         }
-        line.waiting(request.target()).addLast(request);
-        line.tokens += request.cost();
-        attach(line);
+        queue.waiting(request.target()).addLast(request);
+        queue.tokens += request.cost();
+        attach(queue);
         size++;
         waitingCounts.merge(request.target(), 1, Integer::sum);
         waitingTokens.merge(request.target(), request.cost(), Long::sum);
@@ -72,31 +72,32 @@
     @Override
     public QueuedRequest next(Predicate<QueuedRequest> canStart) {
         QueuedRequest best = null;
-        Line bestLine = null;
-        for (Map.Entry<String, TreeSet<Line>> target : ready.entrySet()) {
+        CustomerQueue bestQueue = null;
+        for (Map.Entry<String, TreeSet<CustomerQueue>> target : ready.entrySet()) {
             int tried = 0;
-            for (Line line : target.getValue()) {
-                if (tried == CUSTOMERS_TRIED || bestLine != null && BY_SERVICE.compare(line, bestLine) >= 0) {
+            for (CustomerQueue queue : target.getValue()) {
+                if (tried == MAXIMUM_CUSTOMERS_TRIED
+                        || bestQueue != null && BY_VIRTUAL_TIME.compare(queue, bestQueue) >= 0) {
                     break;
                 }
                 tried++;
-                QueuedRequest head = line.waiting(target.getKey()).peekFirst();
+                QueuedRequest head = queue.waiting(target.getKey()).peekFirst();
                 if (canStart.test(head)) {
                     best = head;
-                    bestLine = line;
+                    bestQueue = queue;
                     break;
                 }
             }
         }
         if (best != null) {
-            take(bestLine, best);
+            dequeue(bestQueue, best);
         }
         return best;
     }
 
     @Override
     public QueuedRequest first(String target) {
-        TreeSet<Line> waiting = ready.get(target);
+        TreeSet<CustomerQueue> waiting = ready.get(target);
         return waiting == null || waiting.isEmpty()
                 ? null
                 : waiting.first().waiting(target).peekFirst();
@@ -104,18 +105,18 @@
 
     @Override
     public boolean remove(QueuedRequest request) {
-        Line line = lines.get(request.customer());
-        if (line == null || !line.waiting(request.target()).contains(request)) {
+        CustomerQueue queue = queues.get(request.customer());
+        if (queue == null || !queue.waiting(request.target()).contains(request)) {
             return false;
         }
-        detach(line);
-        line.waiting(request.target()).remove(request);
-        removed(line, request);
+        detach(queue);
+        queue.waiting(request.target()).remove(request);
+        updateTotals(queue, request);
         return true;
     }
 
     @Override
-    public QueuedRequest shedFirst() {
+    public QueuedRequest shedCandidate() {
         if (backlog.isEmpty()) {
             return null;
         }
@@ -132,8 +133,8 @@
     @Override
     public long tokensAhead(QueuedRequest request) {
         long all = waitingTokens(request.target());
-        Line line = lines.get(request.customer());
-        long own = line == null ? 0 : line.tokens;
+        CustomerQueue queue = queues.get(request.customer());
+        long own = queue == null ? 0 : queue.tokens;
         int weight = Math.max(1, request.customerWeight());
         long weights = activeWeight + (own == 0 ? weight : 0);
         return Math.min(all, (own + request.cost()) * weights / weight);
@@ -155,113 +156,86 @@
     }
 
     @Override
-    public void correct(QueuedRequest request, long actualTokens) {
-        Line line = lines.get(request.customer());
-        if (line == null) {
+    public void correctCharge(QueuedRequest request, long actualTokens) {
+        CustomerQueue queue = queues.get(request.customer());
+        if (queue == null) {
             return;
         }
-        detach(line);
-        line.virtualTime += (double) (actualTokens - request.estimatedTokens()) / line.weight;
-        attach(line);
+        detach(queue);
+        queue.virtualTime += (double) (actualTokens - request.estimatedTokens()) / queue.weight;
+        attach(queue);
     }
 
-    /**
-     * Takes a request out of the queue and charges its customer.
-     *
-     * @param line The line of the customer.
-     * @param request The request.
-     */
-    private void take(Line line, QueuedRequest request) {
-        detach(line);
-        line.waiting(request.target()).removeFirst();
-        virtualTime = Math.max(virtualTime, line.virtualTime);
-        line.virtualTime += (double) request.cost() / line.weight;
-        removed(line, request);
+    /** Dequeues a request and charges its customer. */
+    private void dequeue(CustomerQueue queue, QueuedRequest request) {
+        detach(queue);
+        queue.waiting(request.target()).removeFirst();
+        virtualTime = Math.max(virtualTime, queue.virtualTime);
+        queue.virtualTime += (double) request.cost() / queue.weight;
+        updateTotals(queue, request);
     }
 
     /**
-     * Accounts for a request that left its line.
+     * Updates the totals after a request has left its queue, and reinserts the queue into the orders.
      *
-     * @param line The line, detached.
-     * @param request The request.
+     * @param queue The queue of the customer, detached.
      */
-    private void removed(Line line, QueuedRequest request) {
-        line.tokens -= request.cost();
-        attach(line);
+    private void updateTotals(CustomerQueue queue, QueuedRequest request) {
+        queue.tokens -= request.cost();
+        attach(queue);
         size--;
         waitingCounts.merge(request.target(), -1, Integer::sum);
         waitingTokens.merge(request.target(), -request.cost(), Long::sum);
     }
 
-    /**
-     * Takes a line out of the orders before it changes.
-     *
-     * @param line The line.
-     */
-    private void detach(Line line) {
-        if (line.tokens == 0) {
+    /** Removes a queue from the orders before its sort keys change. */
+    private void detach(CustomerQueue queue) {
+        if (queue.tokens == 0) {
             return;
         }
-        backlog.remove(line);
-        activeWeight -= line.weight;
-        line.byTarget.forEach((target, waiting) -> {
+        backlog.remove(queue);
+        activeWeight -= queue.weight;
+        queue.byTarget.forEach((target, waiting) -> {
             if (!waiting.isEmpty()) {
-                ready.get(target).remove(line);
+                ready.get(target).remove(queue);
             }
         });
     }
 
-    /**
-     * Puts a line into the orders after it changed.
-     *
-     * @param line The line.
-     */
-    private void attach(Line line) {
-        if (line.tokens == 0) {
+    /** Inserts a queue into the orders after its sort keys changed. */
+    private void attach(CustomerQueue queue) {
+        if (queue.tokens == 0) {
             return;
         }
-        backlog.add(line);
-        activeWeight += line.weight;
-        line.byTarget.forEach((target, waiting) -> {
+        backlog.add(queue);
+        activeWeight += queue.weight;
+        queue.byTarget.forEach((target, waiting) -> {
             if (!waiting.isEmpty()) {
-                ready.computeIfAbsent(target, name -> new TreeSet<>(BY_SERVICE)).add(line);
+                ready.computeIfAbsent(target, name -> new TreeSet<>(BY_VIRTUAL_TIME))
+                        .add(queue);
             }
         });
     }
 
     /** The waiting requests of one customer. */
-    private static final class Line {
+    private static final class CustomerQueue {
 
-        /** The customer. */
         private final String customer;
 
-        /** The requests by target. */
         private final Map<String, Deque<QueuedRequest>> byTarget = new HashMap<>();
 
-        /** The weight of the customer. */
         private int weight = 1;
 
-        /** The service so far in tokens divided by weight. */
+        /** The service received so far, in tokens divided by weight. */
         private double virtualTime;
 
-        /** The waiting work in tokens; 0 exactly if nothing waits. */
+        /** The waiting work in tokens; 0 if and only if nothing is waiting. */
         private long tokens;
 
-        /**
-         * Creates a line.
-         *
-         * @param customer The customer.
-         */
-        private Line(String customer) {
+        private CustomerQueue(String customer) {
             this.customer = customer;
         }
 
-        /**
-         * Returns the requests for a target.
-         *
-         * @param target The model or service.
-         * @return The requests in the order of arrival.
-         */
         private Deque<QueuedRequest> waiting(String target) {
             return byTarget.computeIfAbsent(target, name -> new ArrayDeque<>());
         }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Which waiting request starts next and which is refused. */
+/** Admission control: which waiting request starts next and which one is refused. */
 package org.cranberrygauge.decision.admission;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/DispatchListener.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/DispatchListener.java
@@ -5,9 +5,9 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * Carries out what the dispatcher decides.
+ * Executes the decisions of a {@link Dispatcher}.
  *
- * <p>Called by the thread that uses the dispatcher; must not call the dispatcher in turn.
+ * <p>Called on the thread that uses the dispatcher. Implementations must not call back into the dispatcher.
  */
 public interface DispatchListener {
 
@@ -15,22 +15,13 @@
      * Starts a request.
      *
      * @param request The request with its estimated cost.
-     * @param server The backend server.
-     * @param owed Whether it starts before higher tiers because its class is owed a start.
+     * @param guaranteed Whether the request starts ahead of higher tiers by the guaranteed share of its class.
      */
-    void start(QueuedRequest request, BackendServer server, boolean owed);
+    void start(QueuedRequest request, BackendServer server, boolean guaranteed);
 
-    /**
-     * Refuses a request.
-     *
-     * @param refusal The refusal.
-     */
+    /** Rejects a waiting request for good. */
     void refuse(Refusal refusal);
 
-    /**
-     * Stops a running request, which is then submitted again.
-     *
-     * @param requestId The identifier of the request.
-     */
+    /** Stops a running request. The caller submits it again once it has stopped. */
     void preempt(long requestId);
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/DispatchPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/DispatchPolicy.java
@@ -12,13 +12,11 @@
 import org.cranberrygauge.decision.share.SlotDivision;
 
 /**
- * The decisions that a dispatcher puts together; its parts belong to one dispatcher.
+ * The policies that a {@link Dispatcher} is composed of. Its parts are stateful and must not be shared between
+ * dispatchers.
  *
- * @param queue The admission queue.
- * @param routing The routing policy.
- * @param table The backend servers.
- * @param preemption Decides which running request gives way.
- * @param estimate Estimates the length of answers.
+ * @param preemption Decides which running request is preempted.
+ * @param estimate Estimates the output length of requests.
  */
 public record DispatchPolicy(
         AdmissionQueue queue,
@@ -30,14 +28,10 @@
     /** The number of prefixes that a gateway remembers. */
     private static final int PREFIX_LIMIT = 4_096;
 
-    /** The quantile of the output length by which customers are charged in advance. */
+    /** The quantile of the output length that customers are charged in advance. */
     private static final double CHARGED_QUANTILE = 0.5;
 
-    /**
-     * Creates the decisions that gateways use.
-     *
-     * @return The decisions.
-     */
+    /** Creates the policies used by gateways. */
     public static DispatchPolicy standard() {
         return new DispatchPolicy(
                 new TieredAdmissionQueue(),
@@ -47,52 +41,27 @@
                 new OutputEstimate.Quantile(CHARGED_QUANTILE));
     }
 
-    /**
-     * Replaces the admission queue.
-     *
-     * @param replacement The queue.
-     * @return The refined decisions.
-     */
+    /** Returns a copy with another admission queue. */
     public DispatchPolicy withQueue(AdmissionQueue replacement) {
         return new DispatchPolicy(replacement, routing, table, preemption, estimate);
     }
 
-    /**
-     * Replaces the routing policy.
-     *
-     * @param replacement The policy.
-     * @return The refined decisions.
-     */
+    /** Returns a copy with another routing policy. */
     public DispatchPolicy withRouting(RoutingPolicy replacement) {
         return new DispatchPolicy(queue, replacement, table, preemption, estimate);
     }
 
-    /**
-     * Replaces the table of backend servers.
-     *
-     * @param replacement The table.
-     * @return The refined decisions.
-     */
+    /** Returns a copy with another table of backend servers. */
     public DispatchPolicy withTable(BackendTable replacement) {
         return new DispatchPolicy(queue, routing, replacement, preemption, estimate);
     }
 
-    /**
-     * Replaces the rule of preemption.
-     *
-     * @param replacement The rule.
-     * @return The refined decisions.
-     */
+    /** Returns a copy with another preemption policy. */
     public DispatchPolicy withPreemption(PreemptionPolicy replacement) {
         return new DispatchPolicy(queue, routing, table, replacement, estimate);
     }
 
-    /**
-     * Replaces the estimate of the length of answers.
-     *
-     * @param replacement The estimate.
-     * @return The refined decisions.
-     */
+    /** Returns a copy with another estimate of the output length. */
     public DispatchPolicy withEstimate(OutputEstimate replacement) {
         return new DispatchPolicy(queue, routing, table, preemption, replacement);
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/Dispatcher.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/Dispatcher.java
@@ -24,69 +24,50 @@
 /**
  * Starts, refuses and preempts the requests of one gateway.
  *
- * <p>Invariants: a request is started or refused exactly once for each time it is submitted, unless it is cancelled; none
- * is refused by a forecast while a lower tier runs that can give way; a request that started because its class was owed a start is never preempted; no more requests are preempted for a target
- * than higher-tier requests wait for it. Used by one thread at a time.
+ * <p>Invariants: each submission of a request leads to exactly one start or refusal, unless the request is cancelled;
+ * no request is refused because of its predicted wait while a preemptible request of a lower tier runs; a request that
+ * started by the guaranteed share of its class is never preempted; no more requests are preempted for a target than
+ * higher-tier requests wait for it. Not thread-safe; callers serialize access.
  */
 public final class Dispatcher {
 
-    /** The most preempted requests of a target whose slot is not free yet. */
-    private static final int STOPPING_LIMIT = 4;
+    /** The number of preempted requests per target whose slots may be pending release. */
+    private static final int MAXIMUM_PENDING_PREEMPTIONS = 4;
 
-    /** The number of prompt tokens that are read in the time of one output token of a loaded engine. */
+    /** The number of prompt tokens that are processed in the time of one output token on a loaded engine. */
     private static final int PROMPT_TOKENS_PER_OUTPUT_TOKEN = 64;
 
-    /** The decisions. */
     private final DispatchPolicy policy;
 
-    /** Carries out what is decided. */
     private final DispatchListener listener;
 
-    /** The source of randomness. */
     private final RandomGenerator random;
 
-    /** The classes by name. */
     private final Map<String, ServiceClass> classes = new HashMap<>();
 
     /** The waiting and running requests by identifier. */
     private final Map<Long, Submission> submissions = new HashMap<>();
 
-    /** The running requests that can be preempted, by target. */
+    /** The preemptible running requests by target. */
     private final Map<String, Map<Long, RunningRequest>> running = new HashMap<>();
 
-    /** The preempted requests whose slot is not free yet, by target. */
-    private final Map<String, Set<Long>> stopping = new HashMap<>();
+    /** The preempted requests whose slots are not released yet, by target. */
+    private final Map<String, Set<Long>> pendingPreemptions = new HashMap<>();
 
-    /** The targets that requests waited for lately. */
+    /** The targets of all submitted requests. */
     private final Set<String> targets = new TreeSet<>();
 
-    /**
-     * Creates a dispatcher.
-     *
-     * @param policy The decisions.
-     * @param listener Carries out what is decided.
-     * @param random The source of randomness.
-     */
     public Dispatcher(DispatchPolicy policy, DispatchListener listener, RandomGenerator random) {
         this.policy = policy;
         this.listener = listener;
         this.random = random;
     }
 
-    /**
-     * Returns the backend servers.
-     *
-     * @return The table.
-     */
     public BackendTable table() {
         return policy.table();
     }
 
-    /**
-     * Replaces the classes.
-     *
-     * @param replacement The classes.
-     */
+    /** Replaces the service classes. */
     public void configure(List<ServiceClass> replacement) {
         classes.clear();
         replacement.forEach(serviceClass -> classes.put(serviceClass.name(), serviceClass));
@@ -94,19 +75,18 @@
     }
 
     /**
-     * Submits a request, also again after an attempt of it ended.
+     * Submits a request, for the first time or for a further attempt.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param request The request; its cost is that of the prompt and the longest answer.
-     * @param routing What routing needs to know.
-     * @param resumable Whether it can be stopped and go on elsewhere.
-     * @param eligibility Tells on which backend servers it may start.
+     * @param request The request; its cost is that of the prompt and the longest possible output.
+     * @param resumable Whether the request can be stopped and resumed on another backend server.
+     * @param eligibility Restricts the backend servers on which the request may start.
      */
     public void submit(
             long nowMillis, QueuedRequest request, RoutingRequest routing, boolean resumable, Eligibility eligibility) {
         Submission before = submissions.get(request.requestId());
-        long cost = work(routing.promptTokens(), output(request, routing));
-        QueuedRequest queued = before == null ? request.withEstimatedTokens(cost) : request.again(nowMillis, cost);
+        long cost = work(routing.promptTokens(), estimateOutput(request, routing));
+        QueuedRequest queued =
+                before == null ? request.withEstimatedTokens(cost) : request.forNextAttempt(nowMillis, cost);
         int preemptions = before == null ? 0 : before.preemptions();
         boolean ran = before != null && before.ran();
         submissions.put(request.requestId(), new Submission(queued, routing, resumable, preemptions, ran, eligibility));
@@ -114,45 +94,34 @@
         List<Refusal> refusals =
                 ran ? policy.queue().resume(nowMillis, queued) : policy.queue().offer(nowMillis, queued);
         boolean refused = refusals.stream().anyMatch(refusal -> refusal.requestId() == request.requestId());
-        if (refused && !ran && lowerTierRuns(queued)) {
+        if (refused && !ran && hasPreemptibleRequest(queued)) {
             refusals = policy.queue().resume(nowMillis, queued);
         }
         refuse(refusals);
-        startReady(nowMillis);
+        startEligible(nowMillis);
     }
 
-    /**
-     * Removes a request whose caller is gone.
-     *
-     * @param requestId The identifier of the request.
-     */
+    /** Removes a request whose caller has disconnected. */
     public void cancel(long requestId) {
         policy.queue().remove(requestId);
-        forgetUnlessRan(requestId);
+        discardUnlessRan(requestId);
     }
 
-    /**
-     * Notes that an attempt ended and frees its slot.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param requestId The identifier of the request.
-     * @param server The name of the backend server.
-     */
+    /** Releases the slot of an attempt that has ended. */
     public void ended(long nowMillis, long requestId, String server) {
         running.values().forEach(requests -> requests.remove(requestId));
-        stopping.values().forEach(requests -> requests.remove(requestId));
+        pendingPreemptions.values().forEach(requests -> requests.remove(requestId));
         Submission submission = submissions.get(requestId);
         if (submission != null && !submission.resumable()) {
             submissions.remove(requestId);
         }
         policy.table().ended(server);
-        startReady(nowMillis);
+        startEligible(nowMillis);
     }
 
     /**
-     * Notes that a request ended for good, and corrects the account of its customer.
+     * Removes a request that has ended for good and corrects the charge of its customer.
      *
-     * @param requestId The identifier of the request.
      * @param actualTokens The actual cost in tokens, prompt and output.
      */
     public void finished(long requestId, long actualTokens) {
@@ -169,63 +138,48 @@
     }
 
     /**
-     * Refuses what is past its deadline, starts what can start and preempts for what can't.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * Refuses requests past their deadline, starts what can start and preempts for requests that cannot. Called
+     * periodically.
      */
     public void tick(long nowMillis) {
         policy.table().refresh(nowMillis);
         refuse(policy.queue().expire(nowMillis));
-        startReady(nowMillis);
+        startEligible(nowMillis);
         for (String target : targets) {
             preempt(nowMillis, target);
         }
     }
 
-    /**
-     * Returns the number of waiting requests of a class.
-     *
-     * @param className The name of the class.
-     * @return The number.
-     */
+    /** Returns the number of waiting requests of a class. */
     public int waiting(String className) {
         return policy.queue().waiting(className);
     }
 
     /**
-     * Returns the work of a request, by which customers share and queues drain.
+     * Returns the work of a request, as used for fair sharing and for the drain rate.
      *
-     * @param promptTokens The prompt in tokens.
-     * @param outputTokens The output in tokens.
      * @return The work in output tokens.
      */
     private static long work(int promptTokens, long outputTokens) {
         return outputTokens + promptTokens / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
     }
 
-    /**
-     * Tells whether a request of a lower tier runs that can still give way to a request.
-     *
-     * @param request The request.
-     * @return Whether one does.
-     */
-    private boolean lowerTierRuns(QueuedRequest request) {
+    /** Returns whether a lower-tier request runs on the same target that can still be preempted for a request. */
+    private boolean hasPreemptibleRequest(QueuedRequest request) {
         ServiceClass serviceClass = classes.get(request.className());
         if (serviceClass == null) {
             return false;
         }
         return running.getOrDefault(request.target(), Map.of()).values().stream()
-                .anyMatch(other -> policy.preemption().mayGiveWay(serviceClass.tier(), other));
+                .anyMatch(other -> policy.preemption().mayPreempt(serviceClass.tier(), other));
     }
 
     /**
      * Estimates the output of a request.
      *
-     * @param request The request.
-     * @param routing What routing knows of it.
      * @return The output in tokens.
      */
-    private long output(QueuedRequest request, RoutingRequest routing) {
+    private long estimateOutput(QueuedRequest request, RoutingRequest routing) {
         int limit = (int) Math.max(1, request.estimatedTokens() - routing.promptTokens());
         if (routing.promptTokens() == 0) {
             return limit;
@@ -233,32 +187,24 @@
         return policy.estimate().remainingTokens(request.customer(), request.className(), 0, limit);
     }
 
-    /**
-     * Starts requests while one can start.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     */
-    private void startReady(long nowMillis) {
-        if (!anyFree()) {
+    /** Starts waiting requests as long as one can start. */
+    private void startEligible(long nowMillis) {
+        if (!hasFreeSlot()) {
             return;
         }
-        Set<String> full = new HashSet<>();
-        Optional<QueueStart> next = policy.queue().next(nowMillis, request -> canStart(request, full));
+        Set<String> fullTargets = new HashSet<>();
+        Optional<QueueStart> next = policy.queue().next(nowMillis, request -> canStart(request, fullTargets));
         while (next.isPresent()) {
             start(nowMillis, next.get());
-            if (!anyFree()) {
+            if (!hasFreeSlot()) {
                 return;
             }
-            next = policy.queue().next(nowMillis, request -> canStart(request, full));
+            next = policy.queue().next(nowMillis, request -> canStart(request, fullTargets));
         }
     }
 
-    /**
-     * Tells whether any target has a free slot, before the queue is searched.
-     *
-     * @return Whether one has.
-     */
-    private boolean anyFree() {
+    /** Returns whether any target has a free slot; a cheap check before the queue is searched. */
+    private boolean hasFreeSlot() {
         for (String target : targets) {
             if (policy.table().candidates(target).size() > 0) {
                 return true;
@@ -268,32 +214,24 @@
     }
 
     /**
-     * Tells whether a request could start now.
+     * Returns whether a request could start now.
      *
-     * @param request The request.
-     * @param full Takes the targets without a free slot.
-     * @return Whether a slot is free.
+     * @param fullTargets Collects the targets without a free slot.
      */
-    private boolean canStart(QueuedRequest request, Set<String> full) {
-        if (full.contains(request.target())) {
+    private boolean canStart(QueuedRequest request, Set<String> fullTargets) {
+        if (fullTargets.contains(request.target())) {
             return false;
         }
         Candidates candidates = policy.table().candidates(request.target());
         if (candidates.size() == 0) {
-            full.add(request.target());
+            fullTargets.add(request.target());
             return false;
         }
         Submission submission = submissions.get(request.requestId());
         return !submission.eligibility().isRestricted()
-                || eligible(submission, candidates).isPresent();
+                || findEligible(submission, candidates).isPresent();
     }
 
-    /**
-     * Starts a request.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param next The request.
-     */
     private void start(long nowMillis, QueueStart next) {
         QueuedRequest request = next.request();
         Submission submission = submissions.get(request.requestId());
@@ -307,26 +245,24 @@
         policy.table().started(chosen.server().name());
         submissions.put(request.requestId(), submission.started());
         ServiceClass serviceClass = classes.get(request.className());
-        if (submission.resumable() && !next.owed() && serviceClass != null) {
-            RunningRequest runs =
+        if (submission.resumable() && !next.guaranteed() && serviceClass != null) {
+            RunningRequest runningRequest =
                     new RunningRequest(request.requestId(), serviceClass.tier(), nowMillis, submission.preemptions());
             running.computeIfAbsent(request.target(), name -> new LinkedHashMap<>())
-                    .put(request.requestId(), runs);
+                    .put(request.requestId(), runningRequest);
         }
-        listener.start(request, chosen.server(), next.owed());
+        listener.start(request, chosen.server(), next.guaranteed());
     }
 
     /**
-     * Chooses the backend server of a request.
+     * Chooses the backend server for a request.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param submission The request.
      * @param candidates The backend servers with a free slot.
-     * @return The choice, or nothing if a restriction changed since the request was taken from the queue.
+     * @return The choice, or empty if a restriction changed since the request was dequeued.
      */
     private Optional<BackendView> choose(long nowMillis, Submission submission, Candidates candidates) {
         if (submission.eligibility().isRestricted()) {
-            return eligible(submission, candidates);
+            return findEligible(submission, candidates);
         }
         return policy.routing()
                 .choose(nowMillis, submission.routing(), candidates, random)
@@ -334,13 +270,12 @@
     }
 
     /**
-     * Finds the least loaded backend server that a restricted request may start on.
+     * Returns the least loaded backend server on which a restricted request may start.
      *
-     * @param submission The request.
      * @param candidates The backend servers with a free slot.
-     * @return The backend server, or nothing.
+     * @return The backend server, or empty if none is eligible.
      */
-    private static Optional<BackendView> eligible(Submission submission, Candidates candidates) {
+    private static Optional<BackendView> findEligible(Submission submission, Candidates candidates) {
         int healthy = candidates.healthy();
         return IntStream.range(0, candidates.size())
                 .mapToObj(candidates::get)
@@ -349,10 +284,8 @@
     }
 
     /**
-     * Preempts lower-tier requests while a higher-tier one waits too long, unless it waits for a restriction to end.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param target The model or service.
+     * Preempts lower-tier requests while the first request in line has waited too long, unless that request is
+     * restricted to certain backend servers.
      */
     private void preempt(long nowMillis, String target) {
         QueuedRequest first = policy.queue().first(target);
@@ -364,9 +297,9 @@
         if (submissions.get(first.requestId()).eligibility().isRestricted()) {
             return;
         }
-        Set<Long> stops = stopping.computeIfAbsent(target, name -> new HashSet<>());
-        int limit = Math.min(STOPPING_LIMIT, policy.queue().waiting(first.className(), target));
-        while (stops.size() < limit) {
+        Set<Long> pending = pendingPreemptions.computeIfAbsent(target, name -> new HashSet<>());
+        int limit = Math.min(MAXIMUM_PENDING_PREEMPTIONS, policy.queue().waiting(first.className(), target));
+        while (pending.size() < limit) {
             Optional<RunningRequest> victim = policy.preemption()
                     .victim(
                             nowMillis,
@@ -379,31 +312,22 @@
             }
             long requestId = victim.get().requestId();
             requests.remove(requestId);
-            stops.add(requestId);
+            pending.add(requestId);
             Submission submission = submissions.get(requestId);
             submissions.put(requestId, submission.preempted());
             listener.preempt(requestId);
         }
     }
 
-    /**
-     * Hands out refusals.
-     *
-     * @param refusals The refusals.
-     */
     private void refuse(List<Refusal> refusals) {
         for (Refusal refusal : refusals) {
-            forgetUnlessRan(refusal.requestId());
+            discardUnlessRan(refusal.requestId());
             listener.refuse(refusal);
         }
     }
 
-    /**
-     * Forgets a request that never ran; one that ran is kept until its account is corrected.
-     *
-     * @param requestId The identifier of the request.
-     */
-    private void forgetUnlessRan(long requestId) {
+    /** Removes a request that never ran. One that ran is kept until its charge is corrected. */
+    private void discardUnlessRan(long requestId) {
         Submission submission = submissions.get(requestId);
         if (submission != null && !submission.ran()) {
             submissions.remove(requestId);
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/Eligibility.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/Eligibility.java
@@ -2,32 +2,25 @@
 
 import org.cranberrygauge.model.backend.BackendServer;
 
-/** Tells on which backend servers a request may start, beyond those with a free slot. */
+/** Restricts the backend servers on which a request may start, beyond those with a free slot. */
 public interface Eligibility {
 
-    /**
-     * Tells whether the request is restricted at present.
-     *
-     * @return Whether some backend server may be denied.
-     */
+    /** Returns whether any restriction applies to the request now. */
     boolean isRestricted();
 
     /**
-     * Tells whether the request may start on a backend server.
+     * Returns whether the request may start on a backend server.
      *
-     * @param server The backend server.
-     * @param healthyServers The number of backend servers of the target that may get work, free or not.
-     * @return Whether it may.
+     * @param healthyServers The number of backend servers of the target that may get work, with or without a free slot.
      */
     boolean allows(BackendServer server, int healthyServers);
 
     /**
      * Allows every backend server.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum Any implements Eligibility {
-        /** The only instance. */
         INSTANCE;
 
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/Submission.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/Submission.java
@@ -4,14 +4,13 @@
 import org.cranberrygauge.decision.routing.RoutingRequest;
 
 /**
- * A request that was submitted and has not ended for good.
+ * A submitted request that has not ended for good.
  *
- * @param request The request as it was queued last.
- * @param routing What routing knows of it.
- * @param resumable Whether it can be stopped and go on elsewhere.
- * @param preemptions The number of times that it was preempted.
- * @param ran Whether an attempt of it started.
- * @param eligibility Tells on which backend servers it may start.
+ * @param request The request as last queued.
+ * @param resumable Whether the request can be stopped and resumed on another backend server.
+ * @param preemptions The number of times that the request was preempted.
+ * @param ran Whether an attempt of the request was started.
+ * @param eligibility Restricts the backend servers on which the request may start.
  */
 record Submission(
         QueuedRequest request,
@@ -21,20 +20,10 @@
         boolean ran,
         Eligibility eligibility) {
 
-    /**
-     * Notes a start.
-     *
-     * @return The refined submission.
-     */
     Submission started() {
         return new Submission(request, routing, resumable, preemptions, true, eligibility);
     }
 
-    /**
-     * Counts a preemption.
-     *
-     * @return The refined submission.
-     */
     Submission preempted() {
         return new Submission(request, routing, resumable, preemptions + 1, ran, eligibility);
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** Which waiting request starts when, on which backend server, and which running one gives way. */
+/** Dispatching: when each waiting request starts, on which backend server, and which running request is preempted. */
 package org.cranberrygauge.decision.dispatch;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/estimate/OutputEstimate.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/estimate/OutputEstimate.java
@@ -4,54 +4,50 @@
 import java.util.Map;
 
 /**
- * Estimates the length of answers.
+ * Estimates the output length of requests.
  *
- * <p>Implementations are used by one thread at a time.
+ * <p>Implementations are not thread-safe; callers serialize access.
  */
 public interface OutputEstimate {
 
     /**
-     * Estimates the tokens that a request still generates.
+     * Estimates the tokens that a request has still to generate.
      *
-     * @param customer The customer.
-     * @param className The class.
-     * @param deliveredTokens The tokens generated so far.
-     * @param limitTokens The most tokens that the request may generate.
+     * @param deliveredTokens The number of tokens generated so far.
+     * @param limitTokens The maximum number of tokens that the request may generate.
      * @return The estimate in tokens, at least 1.
      */
     int remainingTokens(String customer, String className, int deliveredTokens, int limitTokens);
 
     /**
-     * Learns from an answer.
+     * Updates the estimate with a completed output.
      *
-     * @param customer The customer.
-     * @param className The class.
      * @param outputTokens Its length in tokens.
      */
     void observe(String customer, String className, int outputTokens);
 
-    /** Estimates by the lengths of earlier answers of the same customer and class, of the class while there are few. */
+    /**
+     * Estimates by a quantile of earlier outputs of the same customer and class, or of the class while the customer has
+     * few.
+     */
     final class Quantile implements OutputEstimate {
 
-        /** The answers after which a customer's own lengths count. */
+        /** The number of outputs from which on a customer's own lengths are used. */
         private static final int CUSTOMER_SAMPLES = 20;
 
-        /** The answers after which a class's lengths count. */
+        /** The number of outputs from which on the lengths of a class are used. */
         private static final int CLASS_SAMPLES = 5;
 
-        /** The quantile that is estimated. */
         private final double quantile;
 
-        /** The lengths by customer and class. */
         private final Map<CustomerClass, LengthHistogram> byCustomer = new HashMap<>();
 
-        /** The lengths by class. */
         private final Map<String, LengthHistogram> byClass = new HashMap<>();
 
         /**
-         * Creates an estimate.
+         * Creates an estimate without samples.
          *
-         * @param quantile The quantile that is estimated, from 0 to 1.
+         * @param quantile The quantile to estimate, from 0 to 1.
          */
         public Quantile(double quantile) {
             this.quantile = quantile;
@@ -79,18 +75,12 @@
             byClass.computeIfAbsent(className, key -> new LengthHistogram()).add(outputTokens);
         }
 
-        /**
-         * A customer's use of a class.
-         *
-         * @param customer The customer.
-         * @param className The class.
-         */
+        /** The key of a histogram. */
         private record CustomerClass(String customer, String className) {}
     }
 
-    /** Takes each answer for as long as the request allows. */
+    /** Assumes that each output is as long as the request allows. */
     enum Disabled implements OutputEstimate {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -100,7 +90,7 @@
 
         @Override
         public void observe(String customer, String className, int outputTokens) {
-            // Nothing is learnt.
+            // The estimate does not depend on earlier outputs.
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/estimate/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/estimate/package-info.java
@@ -1,2 +1,2 @@
-/** How long answers will be. */
+/** Estimation of output lengths. */
 package org.cranberrygauge.decision.estimate;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/preemption/PreemptionPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/preemption/PreemptionPolicy.java
@@ -3,49 +3,44 @@
 import java.util.Optional;
 
 /**
- * Decides which running request gives way to a waiting one of a higher tier.
+ * Decides which running request is preempted for a waiting request of a higher tier.
  *
- * <p>Implementations are stateless and safe for use by several threads.
+ * <p>Implementations are stateless and thread-safe.
  */
 public interface PreemptionPolicy {
 
     /**
-     * Chooses a request that stops and goes on later.
+     * Selects a request to stop, which is resumed later.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
      * @param waitingTier The tier of the waiting request; 0 is the highest.
-     * @param waitedMillis The time that it has waited in milliseconds.
-     * @param targetMillis The target for its first token in milliseconds.
-     * @param running The requests that run for the same model.
-     * @return The choice, or nothing if none shall stop.
+     * @param targetMillis The first-token target of the waiting request in milliseconds.
+     * @param running The requests running on the same target.
+     * @return The request to stop, or empty if none should be stopped.
      */
     Optional<RunningRequest> victim(
             long nowMillis, int waitingTier, long waitedMillis, long targetMillis, Iterable<RunningRequest> running);
 
     /**
-     * Tells whether a running request can still be stopped, now or after some progress.
+     * Returns whether a running request can still be preempted, now or after some progress.
      *
      * @param waitingTier The tier of the waiting request; 0 is the highest.
-     * @param running The running request.
-     * @return Whether it can.
      */
-    boolean mayGiveWay(int waitingTier, RunningRequest running);
+    boolean mayPreempt(int waitingTier, RunningRequest running);
 
     /**
-     * Stops a request of the lowest tier that can go on elsewhere and that has made progress since it last started.
+     * Preempts a request of the lowest tier that can be resumed elsewhere and has made progress since it last started.
      */
     enum LowestTierFirst implements PreemptionPolicy {
-        /** The only instance. */
         INSTANCE;
 
-        /** The progress between two preemptions of one request in milliseconds. */
+        /** The minimum progress between two preemptions of one request, in milliseconds. */
         private static final long MINIMUM_PROGRESS_MILLIS = 1_000;
 
-        /** The number of times that one request is stopped at most. */
+        /** The number of times that one request may be preempted. */
         private static final int PREEMPTION_LIMIT = 3;
 
-        /** The part of the target that a request waits before another stops for it. */
-        private static final double PATIENCE = 0.1;
+        /** The fraction of its first-token target that a request waits before another one is preempted for it. */
+        private static final double MINIMUM_WAIT_FRACTION = 0.1;
 
         @Override
         public Optional<RunningRequest> victim(
@@ -54,14 +49,14 @@
                 long waitedMillis,
                 long targetMillis,
                 Iterable<RunningRequest> running) {
-            if (waitedMillis < PATIENCE * targetMillis) {
+            if (waitedMillis < MINIMUM_WAIT_FRACTION * targetMillis) {
                 return Optional.empty();
             }
             RunningRequest best = null;
             for (RunningRequest request : running) {
-                boolean eligible = mayGiveWay(waitingTier, request)
+                boolean eligible = mayPreempt(waitingTier, request)
                         && nowMillis - request.startedAtMillis() >= MINIMUM_PROGRESS_MILLIS;
-                if (eligible && (best == null || givesWayBefore(request, best))) {
+                if (eligible && (best == null || isPreemptedBefore(request, best))) {
                     best = request;
                 }
             }
@@ -69,18 +64,14 @@
         }
 
         @Override
-        public boolean mayGiveWay(int waitingTier, RunningRequest running) {
+        public boolean mayPreempt(int waitingTier, RunningRequest running) {
             return running.tier() > waitingTier && running.preemptions() < PREEMPTION_LIMIT;
         }
 
         /**
-         * Tells whether a request gives way before another.
-         *
-         * @param request The request.
-         * @param other The other.
-         * @return Whether it is of a lower tier, or of the same one and started later.
+         * Returns whether a request is preempted before another one: lower tiers first, then the most recently started.
          */
-        private static boolean givesWayBefore(RunningRequest request, RunningRequest other) {
+        private static boolean isPreemptedBefore(RunningRequest request, RunningRequest other) {
             if (request.tier() != other.tier()) {
                 return request.tier() > other.tier();
             }
@@ -88,9 +79,8 @@
         }
     }
 
-    /** Stops nothing. */
+    /** Preempts nothing. */
     enum Disabled implements PreemptionPolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -104,18 +94,17 @@
         }
 
         @Override
-        public boolean mayGiveWay(int waitingTier, RunningRequest running) {
+        public boolean mayPreempt(int waitingTier, RunningRequest running) {
             return false;
         }
     }
 
     /**
-     * A request that runs and can go on elsewhere.
+     * A running request that can be resumed elsewhere.
      *
-     * @param requestId The identifier of the request.
-     * @param tier The tier of its class.
-     * @param startedAtMillis The monotonic time of its last start.
-     * @param preemptions The number of times that it was stopped.
+     * @param tier The tier of the request's class.
+     * @param startedAtMillis The monotonic time of the last start in milliseconds.
+     * @param preemptions The number of times that the request was preempted.
      */
     record RunningRequest(long requestId, int tier, long startedAtMillis, int preemptions) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/preemption/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/preemption/package-info.java
@@ -1,2 +1,2 @@
-/** Which running request gives way to a waiting one of a higher tier. */
+/** Preemption: which running request stops in favour of a waiting request of a higher tier. */
 package org.cranberrygauge.decision.preemption;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendEntry.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendEntry.java
@@ -3,89 +3,77 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * What one gateway knows of one backend server.
+ * The state that one gateway keeps of one backend server.
  *
- * <p>Mutable and used by one thread at a time, within the table that owns it.
+ * <p>Mutable and not thread-safe; confined to the {@link BackendTable} that owns it.
  */
 final class BackendEntry {
 
-    /** The weight of the newest sample of the time between tokens. */
+    /** The weight of the newest sample in the moving average of the time between tokens. */
     private static final double SMOOTHING = 0.2;
 
-    /** The number of different rotations. */
-    private static final int ROTATIONS = 97;
+    /** The number of distinct rounding offsets. */
+    private static final int ROUNDING_OFFSETS = 97;
 
-    /** The server. */
     BackendServer server;
 
-    /** Whether it may get new work. */
+    /** Whether the server may get new work. */
     boolean available = true;
 
-    /** Whether it is among the free ones. */
+    /** Whether the server is in the free part of its {@link TargetServers}. */
     boolean free;
 
-    /** The monotonic time until which it gets no work after a failure in milliseconds; 0 for none. */
-    long coolingUntilMillis;
+    /** The monotonic time until which the server gets no work after a failure, in milliseconds; 0 for none. */
+    long cooldownUntilMillis;
 
-    /** The part of a slot by which roundings in the division of its slots are shifted. */
-    final double rotation;
+    /**
+     * The offset in slots, from 0 to 1, that is added before shares of this server's slots are rounded. It differs
+     * between servers so that rounding does not favour the same gateway everywhere.
+     */
+    final double roundingOffset;
 
     /** The requests in flight from this gateway. */
-    int own;
+    int ownInFlight;
 
-    /** The requests in flight from peers, as they last said. */
-    int others;
+    /** The requests in flight from peers, as last reported. */
+    int peersInFlight;
 
-    /** The requests that this gateway may have in flight. */
+    /** The number of requests that this gateway may have in flight. */
     int ownLimit;
 
-    /** The requests that it may get because of its speed. */
-    int speedLimit = Integer.MAX_VALUE;
+    /** The number of requests that the server may get while it is being readmitted after an ejection. */
+    int readmissionLimit = Integer.MAX_VALUE;
 
-    /** The smoothed time between tokens in milliseconds; 0 while unknown. */
+    /** The moving average of the time between tokens in milliseconds; 0 while unknown. */
     double intervalMillis;
 
-    /** The number of samples of the time between tokens since the last change of the speed limit. */
+    /** The number of samples of the time between tokens since the readmission limit last changed. */
     int samples;
 
     /** The monotonic time of the last sample in milliseconds. */
     long measuredAtMillis;
 
-    /** The time between tokens relative to its peers. */
+    /** The time between tokens relative to that of the peers. */
     double slowness = 1;
 
-    /** The monotonic time until which it is ejected in milliseconds; 0 if it isn't. */
+    /** The monotonic time until which the server is ejected, in milliseconds; 0 for none. */
     long ejectedUntilMillis;
 
     /** The length of the last ejection in milliseconds. */
     long ejectionMillis;
 
-    /**
-     * Creates an entry.
-     *
-     * @param server The server.
-     */
     BackendEntry(BackendServer server) {
         this.server = server;
-        rotation = Math.floorMod(server.name().hashCode() * 31, ROTATIONS) / (double) ROTATIONS;
+        roundingOffset = Math.floorMod(server.name().hashCode() * 31, ROUNDING_OFFSETS) / (double) ROUNDING_OFFSETS;
     }
 
-    /**
-     * Replaces the server and places it anew.
-     *
-     * @param replacement The server.
-     */
+    /** Replaces the server. The table must place the entry again afterwards. */
     void replace(BackendServer replacement) {
         server = replacement;
         free = false;
     }
 
-    /**
-     * Takes in a measured time between tokens.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param sampleMillis The time in milliseconds.
-     */
+    /** Adds a sample of the time between tokens. */
     void measured(long nowMillis, double sampleMillis) {
         intervalMillis =
                 intervalMillis == 0 ? sampleMillis : intervalMillis + SMOOTHING * (sampleMillis - intervalMillis);
@@ -93,12 +81,7 @@
         measuredAtMillis = nowMillis;
     }
 
-    /**
-     * Builds the view for routing.
-     *
-     * @return The view.
-     */
     BackendView view() {
-        return new BackendView(server, own, others, ownLimit, slowness);
+        return new BackendView(server, ownInFlight, peersInFlight, ownLimit, slowness);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendTable.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendTable.java
@@ -9,48 +9,35 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * What one gateway knows of all backend servers.
+ * The state that one gateway keeps of all backend servers.
  *
- * <p>Invariants: a server is a candidate exactly while it is available and this gateway has fewer requests in flight
- * there than its limit; a start, an end and a choice take time that doesn't grow with the number of servers. Used by one
- * thread at a time.
+ * <p>Invariants: a server is a candidate if and only if it is available and this gateway has fewer requests in flight
+ * there than its limit; starts, ends and choices take time independent of the number of servers. Not thread-safe;
+ * callers serialize access.
  */
 public final class BackendTable {
 
-    /** The time for which a server gets no work after a failure in milliseconds. */
+    /** The time in milliseconds for which a server gets no work after a failure. */
     private static final long COOLDOWN_MILLIS = 1_000;
 
-    /** The division of slots between gateways. */
     private final SlotDivision division;
 
-    /** The comparison of speeds. */
-    private final OutlierDetection speedRule;
+    private final OutlierDetection outlierDetection;
 
     /** The servers by name. */
     private final Map<String, BackendEntry> entries = new HashMap<>();
 
-    /** The servers by target. */
     private final Map<String, TargetServers> byTarget = new HashMap<>();
 
-    /** What this gateway and its peers ask for. */
+    /** The demand of this gateway relative to its peers. */
     private GatewayDemand demand = GatewayDemand.alone();
 
-    /**
-     * Creates a table.
-     *
-     * @param division The division of slots between gateways.
-     * @param speedRule The comparison of speeds.
-     */
-    public BackendTable(SlotDivision division, OutlierDetection speedRule) {
+    public BackendTable(SlotDivision division, OutlierDetection outlierDetection) {
         this.division = division;
-        this.speedRule = speedRule;
+        this.outlierDetection = outlierDetection;
     }
 
-    /**
-     * Replaces the set of servers, keeping what is known of those that stay.
-     *
-     * @param servers The servers.
-     */
+    /** Replaces the set of servers. The state of servers that remain is kept. */
     public void configure(List<BackendServer> servers) {
         Map<String, BackendEntry> before = new HashMap<>(entries);
         entries.clear();
@@ -66,12 +53,7 @@
         entries.values().forEach(this::place);
     }
 
-    /**
-     * Sets whether a server may get new work.
-     *
-     * @param server The name of the server.
-     * @param available Whether it may.
-     */
+    /** Sets whether a server may get new work. */
     public void setAvailable(String server, boolean available) {
         BackendEntry entry = entries.get(server);
         if (entry != null && entry.available != available) {
@@ -81,24 +63,22 @@
     }
 
     /**
-     * Takes in what the peers said.
+     * Updates the table with the reports of the peers.
      *
      * @param othersInFlight The requests in flight from all peers by server.
-     * @param gatewayDemand What this gateway and its peers ask for.
+     * @param gatewayDemand The demand of this gateway relative to its peers.
      */
     public void exchange(Map<String, Integer> othersInFlight, GatewayDemand gatewayDemand) {
         demand = gatewayDemand;
         for (BackendEntry entry : entries.values()) {
-            entry.others = othersInFlight.getOrDefault(entry.server.name(), 0);
+            entry.peersInFlight = othersInFlight.getOrDefault(entry.server.name(), 0);
             place(entry);
         }
     }
 
     /**
-     * Takes in a measured time between tokens.
+     * Adds a sample of the time between tokens on a server.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param server The name of the server.
      * @param intervalMillis The mean time between the tokens of a request in milliseconds.
      */
     public void measured(long nowMillis, String server, double intervalMillis) {
@@ -108,71 +88,53 @@
         }
     }
 
-    /**
-     * Notes that a server failed, which gets no work for a while.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param server The name of the server.
-     */
+    /** Records the failure of a server, which then gets no work for a cool-down period. */
     public void failed(long nowMillis, String server) {
         BackendEntry entry = entries.get(server);
         if (entry != null) {
-            entry.coolingUntilMillis = nowMillis + COOLDOWN_MILLIS;
+            entry.cooldownUntilMillis = nowMillis + COOLDOWN_MILLIS;
             place(entry);
         }
     }
 
-    /**
-     * Gives work again to servers whose failure is long enough ago.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     */
+    /** Ends the cool-down periods that are over. */
     public void refresh(long nowMillis) {
         for (BackendEntry entry : entries.values()) {
-            if (entry.coolingUntilMillis != 0 && entry.coolingUntilMillis <= nowMillis) {
-                entry.coolingUntilMillis = 0;
+            if (entry.cooldownUntilMillis != 0 && entry.cooldownUntilMillis <= nowMillis) {
+                entry.cooldownUntilMillis = 0;
                 place(entry);
             }
         }
     }
 
     /**
-     * Compares the speeds of the servers and ejects or readmits.
+     * Compares the speeds of the servers of each target and ejects or readmits servers.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The changes.
+     * @return The servers that were ejected or readmitted.
      */
     public List<Ejection> compare(long nowMillis) {
         List<Ejection> changes = new ArrayList<>();
         for (TargetServers servers : byTarget.values()) {
-            changes.addAll(speedRule.compare(nowMillis, servers.all()));
+            changes.addAll(outlierDetection.compare(nowMillis, servers.all()));
         }
         entries.values().forEach(this::place);
         return changes;
     }
 
-    /**
-     * Counts a request that starts.
-     *
-     * @param server The name of the server.
-     */
+    /** Counts a request in flight on a server. Has no effect if the server is unknown. */
     public void started(String server) {
         BackendEntry entry = entries.get(server);
         if (entry != null) {
-            entry.own++;
+            entry.ownInFlight++;
             place(entry);
         }
     }
 
-    /**
-     * Counts a request that ended.
-     *
-     * @param server The name of the server.
-     */
+    /** Counts a request on a server as ended. Has no effect if the server is unknown. */
     public void ended(String server) {
         BackendEntry entry = entries.get(server);
         if (entry != null) {
-            entry.own = Math.max(0, entry.own - 1);
+            entry.ownInFlight = Math.max(0, entry.ownInFlight - 1);
             place(entry);
         }
     }
@@ -180,38 +142,30 @@
     /**
      * Returns the requests in flight from this gateway.
      *
-     * @return The numbers by server.
+     * @return The number of requests by server, without servers that have none.
      */
     public Map<String, Integer> inFlight() {
         Map<String, Integer> counts = new HashMap<>();
         for (BackendEntry entry : entries.values()) {
-            if (entry.own > 0) {
-                counts.put(entry.server.name(), entry.own);
+            if (entry.ownInFlight > 0) {
+                counts.put(entry.server.name(), entry.ownInFlight);
             }
         }
         return counts;
     }
 
-    /**
-     * Returns the servers that can take a request now.
-     *
-     * @param target The model or service.
-     * @return The candidates.
-     */
+    /** Returns the servers of a target that can take a request now. */
     public Candidates candidates(String target) {
         TargetServers servers = byTarget.get(target);
         return servers == null ? TargetServers.NONE : servers;
     }
 
-    /**
-     * Puts a server among the free or the full ones.
-     *
-     * @param entry The server.
-     */
+    /** Recomputes the limit of a server and moves it between the free and the full servers. */
     private void place(BackendEntry entry) {
-        int limit = division.ownLimit(entry.server.slots(), entry.own, entry.others, demand, entry.rotation);
-        entry.ownLimit = Math.min(limit, entry.speedLimit);
-        boolean free = entry.available && entry.coolingUntilMillis == 0 && entry.own < entry.ownLimit;
+        int limit = division.ownLimit(
+                entry.server.slots(), entry.ownInFlight, entry.peersInFlight, demand, entry.roundingOffset);
+        entry.ownLimit = Math.min(limit, entry.readmissionLimit);
+        boolean free = entry.available && entry.cooldownUntilMillis == 0 && entry.ownInFlight < entry.ownLimit;
         if (free == entry.free) {
             return;
         }
@@ -224,9 +178,8 @@
     /**
      * A server that was ejected or readmitted.
      *
-     * @param server The name of the server.
-     * @param ejected Whether it was ejected, else readmitted.
-     * @param slowness The time between its tokens relative to its peers.
+     * @param ejected {@code true} if the server was ejected, {@code false} if it was readmitted.
+     * @param slowness The time between tokens relative to that of the peers.
      */
     public record Ejection(String server, boolean ejected, double slowness) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendView.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/BackendView.java
@@ -3,21 +3,16 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * What a gateway knows of a backend server when it routes.
+ * A backend server as seen by a routing policy.
  *
- * @param server The backend server.
  * @param ownInFlight The requests in flight from this gateway.
- * @param othersInFlight The requests in flight from its peers, as they last said.
- * @param ownLimit The requests that this gateway may have in flight.
- * @param slowness The time between tokens relative to that of its peers; 1 while unknown.
+ * @param othersInFlight The requests in flight from peers, as last reported.
+ * @param ownLimit The number of requests that this gateway may have in flight.
+ * @param slowness The time between tokens relative to that of the peers; 1 while unknown.
  */
 public record BackendView(BackendServer server, int ownInFlight, int othersInFlight, int ownLimit, double slowness) {
 
-    /**
-     * Returns the requests in flight from all gateways.
-     *
-     * @return The number.
-     */
+    /** Returns the requests in flight from all gateways. */
     public int inFlight() {
         return ownInFlight + othersInFlight;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/Candidates.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/Candidates.java
@@ -1,47 +1,35 @@
 package org.cranberrygauge.decision.routing;
 
 /**
- * The backend servers that serve a target and can take a request now.
+ * The backend servers of a target that can take a request now.
  *
- * <p>Used by one thread at a time; valid until the table that it is taken from changes.
+ * <p>Not thread-safe; callers serialize access. Valid until the table that it was obtained from changes.
  */
 public interface Candidates {
 
-    /**
-     * Returns the number of candidates.
-     *
-     * @return The number.
-     */
     int size();
 
-    /**
-     * Returns the number of backend servers of the target that may get work, free or not.
-     *
-     * @return The number.
-     */
+    /** Returns the number of backend servers of the target that may get work, with or without a free slot. */
     int healthy();
 
     /**
-     * Returns a candidate.
+     * Returns a candidate by position.
      *
      * @param index The position from 0, in no particular order.
-     * @return The candidate.
      */
     BackendView get(int index);
 
     /**
-     * Finds a candidate by name.
+     * Returns a candidate by server name.
      *
-     * @param server The name of the backend server.
-     * @return The candidate, or null if the server can't take a request now.
+     * @return The candidate, or {@code null} if the server cannot take a request now.
      */
     BackendView find(String server);
 
     /**
-     * Finds the backend server that a digest is assigned to, the same one on each gateway.
+     * Returns the backend server that a digest is assigned to, which is the same at each gateway.
      *
-     * @param digest The digest.
-     * @return The candidate, or null if the server can't take a request now.
+     * @return The candidate, or {@code null} if the server cannot take a request now.
      */
-    BackendView home(String digest);
+    BackendView assigned(String digest);
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/OutlierDetection.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/OutlierDetection.java
@@ -6,12 +6,12 @@
 import org.cranberrygauge.decision.routing.BackendTable.Ejection;
 
 /**
- * The rule by which slow backend servers are ejected and readmitted.
+ * Ejects backend servers that are slower than their peers, and readmits them.
  *
- * <p>Stateless and safe for use by several threads; what it decides is kept in the entries of a table.
+ * <p>Stateless and thread-safe; the outcome is kept in the entries of a table.
  */
 public enum OutlierDetection {
-    /** Compares with the median of the peers, ejects the slowest up to a cap and readmits slowly. */
+    /** Compares each server with the median of its peers, ejects slow ones up to a cap and readmits them gradually. */
     PEERS {
         @Override
         List<Ejection> compare(long nowMillis, List<BackendEntry> servers) {
@@ -27,7 +27,7 @@
                     ejected++;
                 }
             }
-            int cap = (int) (servers.size() * EJECTED_SHARE);
+            int cap = (int) (servers.size() * MAXIMUM_EJECTED_FRACTION);
             for (BackendEntry entry : servers) {
                 if (entry.ejectedUntilMillis > nowMillis) {
                     continue;
@@ -36,14 +36,14 @@
                     eject(nowMillis, entry);
                     ejected++;
                     changes.add(new Ejection(entry.server.name(), true, entry.slowness));
-                } else if (entry.speedLimit != Integer.MAX_VALUE && readmit(entry)) {
+                } else if (entry.readmissionLimit != Integer.MAX_VALUE && readmit(entry)) {
                     changes.add(new Ejection(entry.server.name(), false, entry.slowness));
                 }
             }
             return changes;
         }
     },
-    /** Compares nothing. */
+    /** Ejects no server. */
     DISABLED {
         @Override
         List<Ejection> compare(long nowMillis, List<BackendEntry> servers) {
@@ -52,16 +52,16 @@
     };
 
     /** The slowness from which a server is ejected. */
-    private static final double SLOW = 2;
+    private static final double EJECTION_SLOWNESS = 2;
 
-    /** The slowness below which an ejected server gets more work again. */
-    private static final double GOOD = 1.4;
+    /** The slowness up to which an ejected server is readmitted further. */
+    private static final double READMISSION_SLOWNESS = 1.4;
 
-    /** The samples that a judgement needs. */
-    private static final int SAMPLES = 3;
+    /** The number of samples needed to judge a server. */
+    private static final int MINIMUM_SAMPLES = 3;
 
-    /** The largest share of servers that is ejected at once. */
-    private static final double EJECTED_SHARE = 0.25;
+    /** The largest fraction of servers that may be ejected at the same time. */
+    private static final double MAXIMUM_EJECTED_FRACTION = 0.25;
 
     /** The length of the first ejection in milliseconds. */
     private static final long FIRST_EJECTION_MILLIS = 5_000;
@@ -70,9 +70,8 @@
     private static final long LONGEST_EJECTION_MILLIS = 60_000;
 
     /**
-     * Compares the servers and sets their slowness and speed limits.
+     * Compares servers and updates their slowness and readmission limits.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
      * @param servers The servers of one target.
      * @return The servers that were ejected or readmitted.
      */
@@ -81,67 +80,53 @@
     /**
      * Returns the median time between tokens.
      *
-     * @param servers The servers.
-     * @return The time in milliseconds; 0 while fewer than half are known.
+     * @return The time in milliseconds; 0 while fewer than half of the servers are measured.
      */
     private static double median(List<BackendEntry> servers) {
         double[] known = servers.stream()
                 .mapToDouble(entry -> entry.intervalMillis)
                 .filter(interval -> interval > 0)
                 .toArray();
-        if (known.length * 2 < servers.size() || known.length < SAMPLES) {
+        if (known.length * 2 < servers.size() || known.length < MINIMUM_SAMPLES) {
             return 0;
         }
         Arrays.sort(known);
         return known[known.length / 2];
     }
 
-    /**
-     * Tells whether a server is slow.
-     *
-     * @param entry The server.
-     * @return Whether it is.
-     */
     private static boolean isSlow(BackendEntry entry) {
-        return entry.samples >= SAMPLES && entry.slowness >= SLOW;
+        return entry.samples >= MINIMUM_SAMPLES && entry.slowness >= EJECTION_SLOWNESS;
     }
 
-    /**
-     * Ejects a server.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param entry The server.
-     */
     private static void eject(long nowMillis, BackendEntry entry) {
         entry.ejectionMillis = entry.ejectionMillis == 0
                 ? FIRST_EJECTION_MILLIS
                 : Math.min(LONGEST_EJECTION_MILLIS, entry.ejectionMillis * 2);
         entry.ejectedUntilMillis = nowMillis + entry.ejectionMillis;
-        entry.speedLimit = 0;
+        entry.readmissionLimit = 0;
         entry.samples = 0;
     }
 
     /**
-     * Gives an ejected server its first request, or twice as many after good samples.
+     * Allows an ejected server its first request, or doubles its limit after good samples.
      *
-     * @param entry The server.
-     * @return Whether it is fully readmitted.
+     * @return {@code true} if the server is fully readmitted.
      */
     private static boolean readmit(BackendEntry entry) {
-        if (entry.speedLimit == 0) {
-            entry.speedLimit = 1;
+        if (entry.readmissionLimit == 0) {
+            entry.readmissionLimit = 1;
             entry.intervalMillis = 0;
             return false;
         }
-        if (entry.samples < entry.speedLimit || entry.slowness > GOOD) {
+        if (entry.samples < entry.readmissionLimit || entry.slowness > READMISSION_SLOWNESS) {
             return false;
         }
         entry.samples = 0;
-        entry.speedLimit *= 2;
-        if (entry.speedLimit < entry.server.slots()) {
+        entry.readmissionLimit *= 2;
+        if (entry.readmissionLimit < entry.server.slots()) {
             return false;
         }
-        entry.speedLimit = Integer.MAX_VALUE;
+        entry.readmissionLimit = Integer.MAX_VALUE;
         entry.ejectionMillis = 0;
         return true;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/PrefixAffinity.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/PrefixAffinity.java
@@ -4,81 +4,68 @@
 import java.util.Map;
 
 /**
- * Remembers which backend server last read a prefix.
+ * Remembers which backend server last processed a prompt prefix.
  *
- * <p>Implementations are used by one thread at a time.
+ * <p>Implementations are not thread-safe; callers serialize access.
  */
 public interface PrefixAffinity {
 
     /**
-     * Finds where a prefix was read last.
+     * Returns where a prefix was last processed.
      *
-     * @param prefixDigest The digest of the prefix.
-     * @return Where and when, or null if it is not known.
+     * @return The server and time, or {@code null} if unknown.
      */
-    Reading find(String prefixDigest);
+    CachedPrefix find(String prefixDigest);
 
-    /**
-     * Notes where a prefix is read.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param prefixDigest The digest of the prefix.
-     * @param server The name of the backend server.
-     */
-    void read(long nowMillis, String prefixDigest, String server);
+    /** Records the backend server that processes a prefix. */
+    void recordPrefill(long nowMillis, String prefixDigest, String server);
 
-    /**
-     * Where and when a prefix was read.
-     *
-     * @param server The name of the backend server.
-     * @param readAtMillis The monotonic time in milliseconds.
-     */
-    record Reading(String server, long readAtMillis) {}
+    /** The backend server that processed a prefix, and when. */
+    record CachedPrefix(String server, long prefilledAtMillis) {}
 
-    /** Remembers the prefixes that were used last, up to a limit. */
+    /** Remembers a bounded number of the most recently used prefixes. */
     final class Recent implements PrefixAffinity {
 
-        /** The readings by digest, least recently used first. */
-        private final Map<String, Reading> readings;
+        /** The prefixes by digest, least recently used first. */
+        private final Map<String, CachedPrefix> prefixes;
 
         /**
-         * Creates a memory.
+         * Creates an instance that remembers no prefix yet.
          *
-         * @param limit The number of prefixes that are remembered.
+         * @param limit The number of prefixes to remember.
          */
         public Recent(int limit) {
-            readings = new LinkedHashMap<>(16, 0.75f, true) {
+            prefixes = new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Reading> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<String, CachedPrefix> eldest) {
                     return size() > limit;
                 }
             };
         }
 
         @Override
-        public Reading find(String prefixDigest) {
-            return readings.get(prefixDigest);
+        public CachedPrefix find(String prefixDigest) {
+            return prefixes.get(prefixDigest);
         }
 
         @Override
-        public void read(long nowMillis, String prefixDigest, String server) {
-            readings.put(prefixDigest, new Reading(server, nowMillis));
+        public void recordPrefill(long nowMillis, String prefixDigest, String server) {
+            prefixes.put(prefixDigest, new CachedPrefix(server, nowMillis));
         }
     }
 
     /** Remembers nothing. */
     enum Disabled implements PrefixAffinity {
-        /** The only instance. */
         INSTANCE;
 
         @Override
-        public Reading find(String prefixDigest) {
+        public CachedPrefix find(String prefixDigest) {
             return null;
         }
 
         @Override
-        public void read(long nowMillis, String prefixDigest, String server) {
-            // Nothing is remembered.
+        public void recordPrefill(long nowMillis, String prefixDigest, String server) {
+            // No state is kept.
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/RoutingPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/RoutingPolicy.java
@@ -6,49 +6,34 @@
 /**
  * Decides which backend server runs a request.
  *
- * <p>Implementations are used by one thread at a time unless they say otherwise.
+ * <p>Implementations are not thread-safe unless stated otherwise; callers serialize access.
  */
 public interface RoutingPolicy {
 
     /**
-     * Chooses a backend server.
+     * Chooses a backend server for a request.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param request The request.
-     * @param candidates The backend servers that serve the target and can take a request.
-     * @param random The source of randomness.
-     * @return The choice, or nothing if there is no candidate.
+     * @param candidates The backend servers that can take the request.
+     * @return The choice, or empty if there is no candidate.
      */
     Optional<BackendView> choose(long nowMillis, RoutingRequest request, Candidates candidates, RandomGenerator random);
 
-    /**
-     * Returns the view of a random candidate.
-     *
-     * @param candidates The candidates, at least one.
-     * @param random The source of randomness.
-     * @return The view.
-     */
-    private static BackendView any(Candidates candidates, RandomGenerator random) {
+    /** Returns a random candidate; there must be at least one. */
+    private static BackendView randomCandidate(Candidates candidates, RandomGenerator random) {
         return candidates.get(random.nextInt(candidates.size()));
     }
 
-    /**
-     * Returns the load of a candidate relative to its slots.
-     *
-     * @param view The candidate.
-     * @return The relative load.
-     */
+    /** Returns the requests in flight of a candidate relative to its slots. */
     private static double relativeLoad(BackendView view) {
         return (double) view.inFlight() / view.server().slots();
     }
 
     /**
-     * Chooses the backend server with the fewest requests in flight for its slots, among all: a baseline.
+     * Chooses the candidate with the fewest requests in flight relative to its slots. A baseline for comparison.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum LeastInFlight implements RoutingPolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -66,12 +51,11 @@
     }
 
     /**
-     * Chooses the less loaded of two random candidates: a baseline.
+     * Chooses the less loaded of two random candidates. A baseline for comparison.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum TwoChoices implements RoutingPolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -80,32 +64,30 @@
             if (candidates.size() == 0) {
                 return Optional.empty();
             }
-            BackendView first = any(candidates, random);
-            BackendView second = any(candidates, random);
+            BackendView first = randomCandidate(candidates, random);
+            BackendView second = randomCandidate(candidates, random);
             return Optional.of(relativeLoad(second) < relativeLoad(first) ? second : first);
         }
     }
 
     /**
-     * Chooses at random: a baseline.
+     * Chooses a random candidate. A baseline for comparison.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum Uniform implements RoutingPolicy {
-        /** The only instance. */
         INSTANCE;
 
         @Override
         public Optional<BackendView> choose(
                 long nowMillis, RoutingRequest request, Candidates candidates, RandomGenerator random) {
-            return candidates.size() == 0 ? Optional.empty() : Optional.of(any(candidates, random));
+            return candidates.size() == 0 ? Optional.empty() : Optional.of(randomCandidate(candidates, random));
         }
     }
 
-    /** Chooses one after the other: a baseline. */
+    /** Chooses the candidates in turn. A baseline for comparison. */
     final class RoundRobin implements RoutingPolicy {
 
-        /** The number of choices so far. */
         private int choices;
 
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/RoutingRequest.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/RoutingRequest.java
@@ -1,10 +1,9 @@
 package org.cranberrygauge.decision.routing;
 
 /**
- * What routing needs to know of a request.
+ * The properties of a request that routing depends on.
  *
  * @param target The model or service.
- * @param prefixDigest The digest of the prompt's first part, by which cached prefixes are recognised.
- * @param promptTokens The number of prompt tokens.
+ * @param prefixDigest The digest of the first part of the prompt, used to find servers that have it cached.
  */
 public record RoutingRequest(String target, String prefixDigest, int promptTokens) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/TargetServers.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/TargetServers.java
@@ -6,53 +6,39 @@
 import java.util.Map;
 
 /**
- * The backend servers of one target, the free ones first.
+ * The backend servers of one target, free servers first.
  *
- * <p>Invariants: the free servers fill the positions below their number; moving one takes constant time. Used by one
- * thread at a time.
+ * <p>Invariants: the free servers occupy the positions below their number; moving a server takes constant time. Not
+ * thread-safe; callers serialize access.
  */
 final class TargetServers implements Candidates {
 
-    /** No servers. */
+    /** The candidates of an unknown target. */
     static final Candidates NONE = new TargetServers();
 
-    /** All servers in the order of the configuration, which is the same on each gateway. */
+    /** All servers in configuration order, which is the same at each gateway. */
     private final List<BackendEntry> all = new ArrayList<>();
 
-    /** All servers, the free ones first. */
+    /** All servers, free servers first. */
     private final List<BackendEntry> ordered = new ArrayList<>();
 
-    /** The position of each server among the ordered ones. */
+    /** The position of each server in {@link #ordered}. */
     private final Map<String, Integer> positions = new HashMap<>();
 
-    /** The number of free servers. */
     private int free;
 
-    /**
-     * Adds a server, which is full until it is placed.
-     *
-     * @param entry The server.
-     */
+    /** Adds a server, which counts as full until it is placed. */
     void add(BackendEntry entry) {
         positions.put(entry.server.name(), ordered.size());
         ordered.add(entry);
         all.add(entry);
     }
 
-    /**
-     * Returns all servers.
-     *
-     * @return The servers.
-     */
     List<BackendEntry> all() {
         return all;
     }
 
-    /**
-     * Moves a server that became free or full.
-     *
-     * @param entry The server.
-     */
+    /** Moves a server that became free or full. */
     void place(BackendEntry entry) {
         int position = positions.get(entry.server.name());
         if (entry.free) {
@@ -72,7 +58,7 @@
     @Override
     public int healthy() {
         return (int) all.stream()
-                .filter(entry -> entry.available && entry.coolingUntilMillis == 0)
+                .filter(entry -> entry.available && entry.cooldownUntilMillis == 0)
                 .count();
     }
 
@@ -88,7 +74,7 @@
     }
 
     @Override
-    public BackendView home(String digest) {
+    public BackendView assigned(String digest) {
         if (all.isEmpty()) {
             return null;
         }
@@ -96,12 +82,6 @@
         return entry.free ? entry.view() : null;
     }
 
-    /**
-     * Swaps two servers.
-     *
-     * @param first The position of the one.
-     * @param second The position of the other.
-     */
     private void swap(int first, int second) {
         BackendEntry one = ordered.get(first);
         BackendEntry other = ordered.get(second);
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which backend server runs a request. */
+/** Routing: which backend server runs a request. */
 package org.cranberrygauge.decision.routing;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/share/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/share/package-info.java
@@ -1,2 +1,2 @@
-/** How the slots of backend servers are divided between gateways. */
+/** The division of backend servers' slots between gateways. */
 package org.cranberrygauge.decision.share;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/CustomerQueuesTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/CustomerQueuesTest.java
@@ -14,9 +14,9 @@
 class CustomerQueuesTest {
 
     @Property(tries = 200, seed = "7")
-    void each_request_leaves_once_and_the_counts_agree(
+    void each_request_leaves_once_and_the_counts_are_consistent(
             @ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 59) Integer> steps) {
-        CustomerQueues lines = new WeightedFairQueues();
+        CustomerQueues queues = new WeightedFairQueues();
         Map<Long, QueuedRequest> waiting = new HashMap<>();
         long number = 0;
         for (int step : steps) {
@@ -24,38 +24,38 @@
                 number++;
                 QueuedRequest request = new QueuedRequest(
                         number, "customer-" + step % 5, 1 + step % 4, "class", "model-" + step % 2, step, 0, 1);
-                lines.add(request);
+                queues.add(request);
                 waiting.put(number, request);
             } else if (step % 2 == 0) {
-                QueuedRequest next = lines.next(any -> true);
+                QueuedRequest next = queues.next(any -> true);
                 assertThat(next == null).isEqualTo(waiting.isEmpty());
                 if (next != null) {
                     assertThat(waiting.remove(next.requestId())).isEqualTo(next);
                 }
             } else {
-                QueuedRequest shed = lines.shedFirst();
+                QueuedRequest shed = queues.shedCandidate();
                 assertThat(shed == null).isEqualTo(waiting.isEmpty());
                 if (shed != null) {
-                    assertThat(lines.remove(shed)).isTrue();
+                    assertThat(queues.remove(shed)).isTrue();
                     waiting.remove(shed.requestId());
                 }
             }
-            assertThat(lines.size()).isEqualTo(waiting.size());
-            assertThat(lines.waiting("model-0") + lines.waiting("model-1")).isEqualTo(waiting.size());
+            assertThat(queues.size()).isEqualTo(waiting.size());
+            assertThat(queues.waiting("model-0") + queues.waiting("model-1")).isEqualTo(waiting.size());
         }
     }
 
     @Property(tries = 50, seed = "7")
     void backlogged_customers_get_service_in_proportion_to_their_weights(
             @ForAll @IntRange(min = 1, max = 8) int weight) {
-        CustomerQueues lines = new WeightedFairQueues();
+        CustomerQueues queues = new WeightedFairQueues();
         for (int count = 0; count < 1_000; count++) {
-            lines.add(new QueuedRequest(2L * count, "heavy", weight, "class", "model", 10, 0, 1));
-            lines.add(new QueuedRequest(2L * count + 1, "light", 1, "class", "model", 10, 0, 1));
+            queues.add(new QueuedRequest(2L * count, "heavy", weight, "class", "model", 10, 0, 1));
+            queues.add(new QueuedRequest(2L * count + 1, "light", 1, "class", "model", 10, 0, 1));
         }
         List<String> starts = new ArrayList<>();
         for (int count = 0; count < 100 * (weight + 1); count++) {
-            starts.add(lines.next(any -> true).customer());
+            starts.add(queues.next(any -> true).customer());
         }
         long light = starts.stream().filter("light"::equals).count();
         assertThat(light).isBetween(98L, 102L);
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/TieredAdmissionQueueTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/TieredAdmissionQueueTest.java
@@ -17,7 +17,7 @@
     private long number;
 
     @Test
-    void a_full_queue_sheds_the_lowest_tier_that_waits_and_not_the_newcomer() {
+    void a_full_queue_sheds_the_lowest_waiting_tier_and_not_the_new_request() {
         AdmissionQueue queue = queue(AdmissionPolicy.standard());
         QueuedRequest low = request(LOW, "one", 0);
         queue.offer(0, low);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void a_starved_class_gets_one_start_even_while_higher_tiers_are_in_danger() {
+    void a_starved_class_gets_one_start_even_while_higher_tiers_are_near_their_deadline() {
         AdmissionQueue queue = queue(AdmissionPolicy.standard());
         queue.offer(0, request(LOW, "one", 0));
         queue.offer(6_000, request(HIGH, "one", 6_000));
@@ -42,7 +42,7 @@
         QueueStart start = queue.next(10_000, request -> true).orElseThrow();
 
         assertThat(start.request().className()).isEqualTo("low");
-        assertThat(start.owed()).isTrue();
+        assertThat(start.guaranteed()).isTrue();
     }
 
     @Test
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void a_request_that_cannot_start_in_time_is_refused_at_once_with_the_time_to_come_back() {
+    void a_request_that_cannot_start_in_time_is_refused_at_once_with_a_retry_delay() {
         AdmissionQueue queue = busyQueue(AdmissionPolicy.standard());
 
         List<Refusal> refusals = queue.offer(4_000, request(HIGH, "one", 4_000));
@@ -80,14 +80,14 @@
     }
 
     @Test
-    void without_a_forecast_a_request_that_cannot_start_in_time_waits() {
+    void without_a_wait_limit_a_request_that_cannot_start_in_time_waits() {
         AdmissionQueue queue = busyQueue(AdmissionPolicy.standard().withWaitLimit(WaitLimit.Disabled.INSTANCE));
 
         assertThat(queue.offer(4_000, request(HIGH, "one", 4_000))).isEmpty();
     }
 
     @Test
-    void a_request_that_ran_in_part_is_taken_back_whatever_the_forecast() {
+    void a_partly_executed_request_is_queued_again_regardless_of_its_predicted_wait() {
         AdmissionQueue queue = busyQueue(AdmissionPolicy.standard());
 
         assertThat(queue.resume(4_000, request(HIGH, "one", 4_000))).isEmpty();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/dispatch/DispatcherTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/dispatch/DispatcherTest.java
@@ -26,7 +26,7 @@
     private final List<Long> preempted = new ArrayList<>();
 
     @Test
-    void a_lower_tier_gives_way_after_its_minimum_progress_and_goes_on_later() {
+    void a_lower_tier_is_preempted_after_its_minimum_progress_and_resumed_later() {
         Dispatcher dispatcher = dispatcher(DispatchPolicy.standard());
         submit(dispatcher, 0, 1, "low");
         submit(dispatcher, 500, 2, "high");
@@ -54,12 +54,12 @@
     }
 
     @Test
-    void no_forecast_refuses_a_higher_tier_while_a_lower_one_runs_that_can_give_way() {
+    void a_higher_tier_is_not_refused_for_its_predicted_wait_while_a_preemptible_lower_one_runs() {
         assertThat(refusedUnderBacklog(DispatchPolicy.standard())).isEmpty();
     }
 
     @Test
-    void without_preemption_the_forecast_refuses_what_cannot_start_in_time() {
+    void without_preemption_requests_that_cannot_start_in_time_are_refused() {
         assertThat(refusedUnderBacklog(DispatchPolicy.standard().withPreemption(PreemptionPolicy.Disabled.INSTANCE)))
                 .isNotEmpty();
     }
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void a_higher_tier_never_gives_way_to_a_lower_one() {
+    void a_higher_tier_is_never_preempted_for_a_lower_one() {
         Dispatcher dispatcher = dispatcher(DispatchPolicy.standard());
         submit(dispatcher, 0, 1, "high");
         submit(dispatcher, 0, 2, "low");
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void a_request_that_is_tried_again_waits_anew() {
+    void a_retried_request_gets_a_new_deadline() {
         Dispatcher dispatcher = dispatcher(DispatchPolicy.standard());
         submit(dispatcher, 0, 1, "high");
         submit(dispatcher, 6_000, 2, "high");
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void start(QueuedRequest request, BackendServer server, boolean owed) {
+    public void start(QueuedRequest request, BackendServer server, boolean guaranteed) {
         started.add(request.requestId());
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/routing/BackendTableTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/routing/BackendTableTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void a_server_that_is_slow_against_its_peers_is_ejected_and_readmitted_slowly() {
+    void a_server_slower_than_its_peers_is_ejected_and_readmitted_gradually() {
         BackendTable table = table(OutlierDetection.PEERS, 8);
         measure(table, 30);
         assertThat(table.compare(0)).extracting(BackendTable.Ejection::ejected).containsExactly(true);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void without_the_comparison_a_slow_server_goes_on_getting_work() {
+    void without_outlier_detection_a_slow_server_keeps_getting_work() {
         BackendTable table = table(OutlierDetection.DISABLED, 8);
         measure(table, 30);
         assertThat(table.compare(0)).isEmpty();
@@ -74,13 +74,13 @@
     }
 
     @Test
-    void a_prompt_goes_to_the_server_that_read_its_prefix() {
+    void a_prompt_goes_to_the_server_that_has_processed_its_prefix() {
         RoutingPolicy routing = new PredictedFirstToken(new PrefixAffinity.Recent(10));
         assertThat(differentServers(routing)).isEqualTo(1);
     }
 
     @Test
-    void without_a_memory_prompts_of_one_prefix_go_anywhere() {
+    void without_prefix_affinity_prompts_with_the_same_prefix_are_spread() {
         RoutingPolicy routing = new PredictedFirstToken(PrefixAffinity.Disabled.INSTANCE);
         assertThat(differentServers(routing)).isGreaterThan(1);
     }
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/share/SlotDivisionTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/share/SlotDivisionTest.java
@@ -17,7 +17,7 @@
     void the_shares_of_all_gateways_add_up_to_all_slots(
             @ForAll @Size(min = 1, max = 8) List<@DoubleRange(min = 0, max = 1_000) Double> demands,
             @ForAll @IntRange(min = 1, max = 64) int slots,
-            @ForAll @DoubleRange(min = 0, max = 0.99) double rotation) {
+            @ForAll @DoubleRange(min = 0, max = 0.99) double roundingOffset) {
         TreeMap<String, Double> byName = new TreeMap<>();
         for (int index = 0; index < demands.size(); index++) {
             byName.put("gateway-" + index, demands.get(index));
@@ -25,7 +25,7 @@
         int total = 0;
         for (String name : byName.keySet()) {
             total += SlotDivision.DemandShare.INSTANCE.ownLimit(
-                    slots, 0, slots, GatewayDemand.of(name, byName), rotation);
+                    slots, 0, slots, GatewayDemand.of(name, byName), roundingOffset);
         }
         assertThat(total).isEqualTo(slots);
     }
