--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/DemandEstimator.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/DemandEstimator.java
@@ -12,32 +12,28 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * Works out the demand for each model from what gateways report.
+ * Estimates the demand for each model from the reports of gateways.
  *
- * <p>Invariants: a gateway that is seen for the first time, or whose count fell, adds nothing until it is seen again. Since
- * usage names no model, the tokens are divided among the models that can be ordered by their requests in flight. The classes
- * of all tiers but the lowest are protected. Used by one thread.
+ * <p>Invariants: a gateway that is new, or whose counter fell, contributes no rate until its next report. Usage counts
+ * do not name a model, so the tokens are divided among the models that can be ordered in proportion to their requests
+ * in flight. All tiers but the lowest are protected. Not thread-safe; confined to one thread.
  */
 public final class DemandEstimator {
 
-    /** The output tokens of a request of a class that no request of was counted yet. */
-    private static final double UNKNOWN_TOKENS = 200;
+    /** The assumed output tokens of a request of a class without any counted request. */
+    private static final double DEFAULT_REQUEST_TOKENS = 200;
 
-    /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The last load of each gateway. */
-    private Map<String, GatewayLoad> last = Map.of();
+    private Map<String, GatewayLoad> previousLoads = Map.of();
 
-    /** The last known output rates in tokens a second. */
-    private final Map<Counted, Double> rates = new HashMap<>();
+    /** The last known output rates in tokens per second. */
+    private final Map<GatewayClass, Double> rates = new HashMap<>();
 
     /**
-     * Takes a round of reports in.
+     * Updates the estimate with a round of reports.
      *
-     * @param configuration The configuration.
-     * @param servers The backend servers that are configured or listed.
-     * @param loads The loads of the gateways.
+     * @param servers The configured and listed backend servers.
      * @return The demand by model.
      */
     public Map<String, ModelDemand> observe(
@@ -58,9 +54,9 @@
             int waiting = loads.stream()
                     .mapToInt(load -> load.waiting().getOrDefault(name, 0))
                     .sum();
-            waitingTokens += waiting * tokensOfRequest(loads, name);
+            waitingTokens += waiting * meanOutputTokens(loads, name);
         }
-        remember(loads);
+        storeLoads(loads);
         Map<String, Double> shares = shares(configuration, servers, loads);
         Map<String, ModelDemand> demand = new HashMap<>();
         for (Map.Entry<String, Double> share : shares.entrySet()) {
@@ -71,18 +67,16 @@
     }
 
     /**
-     * Works out the rate of a class at a gateway.
+     * Computes the output rate of a class at a gateway.
      *
-     * @param load The load of the gateway.
-     * @param className The name of the class.
-     * @return The output tokens a second.
+     * @return The rate in tokens per second.
      */
     private double rate(GatewayLoad load, String className) {
-        GatewayLoad before = last.get(load.gateway());
+        GatewayLoad before = previousLoads.get(load.gateway());
         if (before == null) {
             return 0;
         }
-        Counted key = new Counted(load.gateway(), className);
+        GatewayClass key = new GatewayClass(load.gateway(), className);
         if (load.atMillis() <= before.atMillis()) {
             return rates.getOrDefault(key, 0.0);
         }
@@ -93,30 +87,22 @@
         return rate;
     }
 
-    /**
-     * Estimates the output tokens of a request of a class.
-     *
-     * @param loads The loads of the gateways.
-     * @param className The name of the class.
-     * @return The tokens.
-     */
-    private static double tokensOfRequest(Collection<GatewayLoad> loads, String className) {
+    /** Returns the mean output tokens of a request of a class. */
+    private static double meanOutputTokens(Collection<GatewayLoad> loads, String className) {
         double calls = 0;
         double tokens = 0;
         for (GatewayLoad load : loads) {
             calls += UsageSignals.calls(load.signals(), className);
             tokens += UsageSignals.outputTokens(load.signals(), className);
         }
-        return calls == 0 ? UNKNOWN_TOKENS : tokens / calls;
+        return calls == 0 ? DEFAULT_REQUEST_TOKENS : tokens / calls;
     }
 
     /**
      * Divides the demand among the models that can be ordered.
      *
-     * @param configuration The configuration.
-     * @param servers The backend servers that are configured or listed.
-     * @param loads The loads of the gateways.
-     * @return The share of each model.
+     * @param servers The configured and listed backend servers.
+     * @return The share of each model from 0 to 1.
      */
     private static Map<String, Double> shares(
             Configuration configuration, List<BackendServer> servers, Collection<GatewayLoad> loads) {
@@ -134,34 +120,23 @@
         return weights;
     }
 
-    /**
-     * Remembers a round of reports.
-     *
-     * @param loads The loads of the gateways.
-     */
-    private void remember(Collection<GatewayLoad> loads) {
+    /** Keeps a round of reports for the computation of the next rates, and drops the rates of gateways not in it. */
+    private void storeLoads(Collection<GatewayLoad> loads) {
         Map<String, GatewayLoad> next = new HashMap<>();
         loads.forEach(load -> next.put(load.gateway(), load));
-        last = next;
+        previousLoads = next;
         rates.keySet().removeIf(key -> !next.containsKey(key.gateway()));
     }
 
-    /**
-     * What a rate is kept by.
-     *
-     * @param gateway The incarnation of the gateway.
-     * @param className The name of the class.
-     */
-    private record Counted(String gateway, String className) {}
+    /** The key of a rate. */
+    private record GatewayClass(String gateway, String className) {}
 
     /**
-     * What a gateway reports of its load.
+     * The load that a gateway reports.
      *
-     * @param gateway The incarnation of the gateway.
-     * @param atMillis The monotonic time at which it was heard.
-     * @param signals The signals by name.
-     * @param waiting The requests that wait, by class.
-     * @param inFlight The requests in flight, by backend server.
+     * @param atMillis The monotonic time at which the report was received, in milliseconds.
+     * @param waiting The waiting requests by class.
+     * @param inFlight The requests in flight by backend server.
      */
     public record GatewayLoad(
             String gateway,
@@ -170,7 +145,6 @@
             Map<String, Integer> waiting,
             Map<String, Integer> inFlight) {
 
-        /** Copies the maps. */
         public GatewayLoad {
             signals = Map.copyOf(signals);
             waiting = Map.copyOf(waiting);
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/DemandForecast.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/DemandForecast.java
@@ -3,8 +3,8 @@
 /**
  * Forecasts a rate from its level and trend by double exponential smoothing.
  *
- * <p>Invariants: the forecast is never negative and never more than twice the level; a falling trend is not extrapolated.
- * Used by one thread.
+ * <p>Invariants: the forecast is never negative and at most twice the level; a falling trend is not extrapolated. Not
+ * thread-safe; confined to one thread.
  */
 final class DemandForecast {
 
@@ -15,21 +15,19 @@
     private static final double TREND_MILLIS = 60_000;
 
     /** The highest forecast as a multiple of the level. */
-    private static final double HIGHEST_GROWTH = 2;
+    private static final double MAXIMUM_GROWTH = 2;
 
-    /** The level. */
     private double level;
 
-    /** The trend in units of the level a millisecond. */
+    /** The trend in units of the level per millisecond. */
     private double trend;
 
-    /** The monotonic time of the last observation, or -1 for none. */
+    /** The monotonic time of the last observation in milliseconds, or -1 for none. */
     private long observedAtMillis = -1;
 
     /**
-     * Takes an observation in.
+     * Adds an observation.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
      * @param value The observed rate.
      */
     void observe(long nowMillis, double value) {
@@ -55,8 +53,8 @@
      * @param leadMillis The time from now in milliseconds.
      * @return The expected rate.
      */
-    double after(long leadMillis) {
-        double grown = level + Math.max(0, trend) * leadMillis;
-        return Math.min(grown, level * HIGHEST_GROWTH);
+    double forecast(long leadMillis) {
+        double extrapolated = level + Math.max(0, trend) * leadMillis;
+        return Math.min(extrapolated, level * MAXIMUM_GROWTH);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetAllocation.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetAllocation.java
@@ -13,30 +13,26 @@
 /**
  * Divides the backend servers of one model among its pools.
  *
- * <p>Invariants: no pool goes below its minimum or above its maximum; cheap servers are spread over data centres; where the
- * maxima allow, those that remain when the data centre with most cheap servers vanishes are enough for the protected
- * classes. The same input gives the same division. Used by one thread and thrown away.
+ * <p>Invariants: no pool is below its minimum or above its maximum; cheap servers are spread over data centres; as far
+ * as the maxima allow, the servers that remain after an eviction of the data centre with the most cheap servers are
+ * enough for the protected classes. The same input gives the same division. Not thread-safe; an instance is used once.
  */
 final class FleetAllocation {
 
-    /** The pools of the model. */
     private final List<FleetPool> pools;
 
-    /** What is known of the pools. */
     private final FleetView view;
 
-    /** The number of backend servers that are not ordered. */
+    /** The number of backend servers that are not ordered from the platform. */
     private final int fixed;
 
     /** The number of backend servers by pool. */
     private final Map<String, Integer> desired = new HashMap<>();
 
     /**
-     * Creates an allocation that has the minimum of each pool.
+     * Creates an allocation in which each pool has its minimum.
      *
-     * @param pools The pools of the model.
-     * @param view What is known of the pools.
-     * @param fixed The number of backend servers that are not ordered.
+     * @param fixed The number of backend servers that are not ordered from the platform.
      */
     FleetAllocation(List<FleetPool> pools, FleetView view, int fixed) {
         this.pools = pools;
@@ -46,21 +42,21 @@
     }
 
     /**
-     * Divides the servers.
+     * Divides the servers among the pools.
      *
      * @param needed The number of servers for all classes.
-     * @param protectedNeeded The number of servers that must remain when a data centre of cheap ones vanishes.
+     * @param protectedNeeded The number of servers that must remain after an eviction of a data centre's cheap servers.
      * @return The number of servers by pool.
      */
     Map<String, Integer> divide(int needed, int protectedNeeded) {
-        boolean grown = true;
-        while (grown && total() < needed) {
-            grown = add(pool -> true);
+        boolean added = true;
+        while (added && totalCount() < needed) {
+            added = add(pool -> true);
         }
-        grown = true;
-        while (grown && total() - largestCheapDataCentre() < protectedNeeded) {
-            int largest = largestCheapDataCentre();
-            grown = add(pool -> pool.supply() == Supply.REGULAR || cheapIn(pool.dataCentre()) < largest);
+        added = true;
+        while (added && totalCount() - largestCheapCount() < protectedNeeded) {
+            int largest = largestCheapCount();
+            added = add(pool -> pool.supply() == Supply.REGULAR || cheapCount(pool.dataCentre()) < largest);
         }
         return Map.copyOf(desired);
     }
@@ -68,27 +64,22 @@
     /**
      * Adds a server to the best pool that has room.
      *
-     * @param wanted The pools that come into question.
-     * @return Whether a server was added.
+     * @param eligible Selects the pools to consider.
+     * @return {@code true} if a pool had room.
      */
-    private boolean add(Predicate<FleetPool> wanted) {
+    private boolean add(Predicate<FleetPool> eligible) {
         Optional<FleetPool> best = pools.stream()
-                .filter(wanted)
+                .filter(eligible)
                 .filter(this::hasRoom)
                 .min(Comparator.comparing(FleetPool::supply, Comparator.reverseOrder())
-                        .thenComparingInt(this::inDataCentre)
+                        .thenComparingInt(this::countInDataCentre)
                         .thenComparingDouble(FleetPool::costPerHour)
                         .thenComparing(FleetPool::name));
         best.ifPresent(pool -> desired.merge(pool.name(), 1, Integer::sum));
         return best.isPresent();
     }
 
-    /**
-     * Tells whether a pool can get a server more.
-     *
-     * @param pool The pool.
-     * @return Whether it can.
-     */
+    /** Returns whether one more server can be ordered for a pool. */
     private boolean hasRoom(FleetPool pool) {
         int count = desired.get(pool.name());
         PoolState state = view.pool(pool.name());
@@ -96,23 +87,13 @@
         return count < pool.maximum() && supplied;
     }
 
-    /**
-     * Counts the servers of a pool's kind in its data centre.
-     *
-     * @param pool The pool.
-     * @return The number.
-     */
-    private int inDataCentre(FleetPool pool) {
-        return pool.supply() == Supply.CHEAP ? cheapIn(pool.dataCentre()) : desired.get(pool.name());
+    /** Returns the number of cheap servers in a cheap pool's data centre, or the size of a regular pool. */
+    private int countInDataCentre(FleetPool pool) {
+        return pool.supply() == Supply.CHEAP ? cheapCount(pool.dataCentre()) : desired.get(pool.name());
     }
 
-    /**
-     * Counts the cheap servers of a data centre.
-     *
-     * @param dataCentre The name of the data centre.
-     * @return The number.
-     */
-    private int cheapIn(String dataCentre) {
+    /** Returns the number of cheap servers in a data centre. */
+    private int cheapCount(String dataCentre) {
         return pools.stream()
                 .filter(pool -> pool.supply() == Supply.CHEAP)
                 .filter(pool -> pool.dataCentre().equals(dataCentre))
@@ -120,21 +101,16 @@
                 .sum();
     }
 
-    /**
-     * Counts the cheap servers of the data centre that has most of them.
-     *
-     * @return The number.
-     */
-    private int largestCheapDataCentre() {
-        return pools.stream().mapToInt(pool -> cheapIn(pool.dataCentre())).max().orElse(0);
+    /** Returns the number of cheap servers in the data centre that has the most of them. */
+    private int largestCheapCount() {
+        return pools.stream()
+                .mapToInt(pool -> cheapCount(pool.dataCentre()))
+                .max()
+                .orElse(0);
     }
 
-    /**
-     * Counts all servers.
-     *
-     * @return The number.
-     */
-    private int total() {
+    /** Returns the number of servers, including those that are not ordered. */
+    private int totalCount() {
         return fixed + desired.values().stream().mapToInt(Integer::intValue).sum();
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetParameters.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetParameters.java
@@ -1,49 +1,40 @@
 package org.cranberrygauge.decision.fleet;
 
 /**
- * What a planner reckons with.
+ * The capacity and timing assumptions of a fleet planner.
  *
- * @param tokensPerSecond The output tokens a second that one backend server gives under full load.
- * @param utilization The share of that rate which is planned for, from 0 to 1.
+ * @param tokensPerSecond The output tokens per second of one backend server under full load.
+ * @param utilization The fraction of that rate to plan for, from 0 to 1.
  * @param startMillis The time from an order to a live backend server in milliseconds, without the wait for weights.
- * @param weightsMillis The time that the weight store takes for one backend server, one after another, in milliseconds.
- * @param idleMillis The time for which a backend server must be idle before it is handed back in milliseconds.
+ * @param weightsMillis The time in milliseconds that the weight store takes per backend server; it serves one after
+ *     another.
+ * @param idleMillis The time in milliseconds for which a backend server must be idle before it is released.
  */
 public record FleetParameters(
         double tokensPerSecond, double utilization, long startMillis, long weightsMillis, long idleMillis) {
 
-    /** The part of a server that does not count, against rounding. */
-    private static final double ROUNDING = 1e-9;
+    /** The fraction of a server that is ignored, against rounding errors. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** The parameters where nothing else is set. */
+    /** The default parameters. */
     private static final FleetParameters STANDARD = new FleetParameters(400, 0.7, 60_000, 20_000, 300_000);
 
-    /**
-     * Returns the parameters where nothing else is set.
-     *
-     * @return The standard parameters.
-     */
+    /** Returns the default parameters. */
     public static FleetParameters standard() {
         return STANDARD;
     }
 
-    /**
-     * Returns the time until a number of backend servers ordered now are live.
-     *
-     * @param servers The number.
-     * @return The time in milliseconds.
-     */
+    /** Returns the time in milliseconds until a number of backend servers ordered now are live. */
     public long leadMillis(int servers) {
         return startMillis + weightsMillis * Math.max(1, servers);
     }
 
     /**
-     * Returns the number of backend servers for a demand.
+     * Returns the number of backend servers needed for a demand.
      *
-     * @param demandTokensPerSecond The demand in output tokens a second.
-     * @return The number.
+     * @param demandTokensPerSecond The demand in output tokens per second.
      */
     public int serversFor(double demandTokensPerSecond) {
-        return (int) Math.ceil(demandTokensPerSecond / (tokensPerSecond * utilization) - ROUNDING);
+        return (int) Math.ceil(demandTokensPerSecond / (tokensPerSecond * utilization) - ROUNDING_TOLERANCE);
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetPlanner.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetPlanner.java
@@ -7,25 +7,18 @@
 import java.util.Map;
 import org.cranberrygauge.model.configuration.FleetPool;
 
-/** Decides how many backend servers each pool shall have. */
+/** Decides how many backend servers each pool should have. */
 public interface FleetPlanner {
 
-    /**
-     * Decides the orders that are due.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param view What is known of the pools.
-     * @return The orders.
-     */
+    /** Returns the orders that are due. */
     List<FleetOrder> decide(long nowMillis, FleetView view);
 
     /**
      * Keeps each pool at its minimum.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum Minimum implements FleetPlanner {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -42,15 +35,14 @@
     }
 
     /**
-     * Keeps each pool at a fixed size, which is the baseline without scaling.
+     * Keeps each pool at a fixed size. A baseline without scaling.
      *
-     * <p>Immutable and safe for use by several threads.
+     * <p>Immutable and thread-safe.
      *
      * @param sizes The sizes by pool.
      */
     record Fixed(Map<String, Integer> sizes) implements FleetPlanner {
 
-        /** Copies the map. */
         public Fixed {
             sizes = Map.copyOf(sizes);
         }
@@ -69,27 +61,21 @@
     }
 
     /**
-     * Follows the present demand with the cheapest pools first, and shrinks after the idle time, which is the baseline
-     * without forecast, spread and floor.
+     * Follows the current demand, cheapest pools first, and shrinks after the idle time. A baseline without forecast,
+     * spread over data centres and minimum for protected classes.
      *
-     * <p>Used by one thread.
+     * <p>Not thread-safe; confined to one thread.
      */
     final class Reactive implements FleetPlanner {
 
-        /** The time in which requests that wait shall be worked off in seconds. */
-        private static final double WORK_OFF_SECONDS = 30;
+        /** The time in seconds within which the waiting requests should be completed. */
+        private static final double BACKLOG_DRAIN_SECONDS = 30;
 
-        /** What the planner reckons with. */
         private final FleetParameters parameters;
 
-        /** The need of each model in the last while. */
-        private final Map<String, SlidingWindowMaximum> needs = new HashMap<>();
+        /** The highest demand of each model within the idle time, in servers. */
+        private final Map<String, SlidingWindowMaximum> recentlyNeeded = new HashMap<>();
 
-        /**
-         * Creates a planner.
-         *
-         * @param parameters What the planner reckons with.
-         */
         public Reactive(FleetParameters parameters) {
             this.parameters = parameters;
         }
@@ -99,12 +85,12 @@
             List<FleetPool> cheapestFirst = new ArrayList<>(view.configuration().fleet());
             cheapestFirst.sort(
                     Comparator.comparingDouble(FleetPool::costPerHour).thenComparing(FleetPool::name));
-            Map<String, Integer> open = new HashMap<>();
+            Map<String, Integer> remaining = new HashMap<>();
             List<FleetOrder> orders = new ArrayList<>();
             for (FleetPool pool : cheapestFirst) {
-                int left = open.computeIfAbsent(pool.model(), model -> needed(nowMillis, view, model));
+                int left = remaining.computeIfAbsent(pool.model(), model -> needed(nowMillis, view, model));
                 int size = Math.max(pool.minimum(), Math.min(pool.maximum(), left));
-                open.put(pool.model(), Math.max(0, left - size));
+                remaining.put(pool.model(), Math.max(0, left - size));
                 if (size != view.pool(pool.name()).present()) {
                     orders.add(new FleetOrder(pool.name(), size, "reactive"));
                 }
@@ -112,18 +98,13 @@
             return orders;
         }
 
-        /**
-         * Works out how many servers a model needs for its present demand.
-         *
-         * @param nowMillis The present monotonic time in milliseconds.
-         * @param view What is known.
-         * @param model The model.
-         * @return The number.
-         */
+        /** Returns how many servers a model needs for its current demand, at its highest within the idle time. */
         private int needed(long nowMillis, FleetView view, String model) {
             FleetView.ModelDemand demand = view.demandFor(model);
-            int needed = parameters.serversFor(demand.tokensPerSecond() + demand.waitingTokens() / WORK_OFF_SECONDS);
-            return needs.computeIfAbsent(model, name -> new SlidingWindowMaximum(parameters.idleMillis()))
+            int needed =
+                    parameters.serversFor(demand.tokensPerSecond() + demand.waitingTokens() / BACKLOG_DRAIN_SECONDS);
+            return recentlyNeeded
+                    .computeIfAbsent(model, name -> new SlidingWindowMaximum(parameters.idleMillis()))
                     .add(nowMillis, needed);
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetView.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/FleetView.java
@@ -5,13 +5,12 @@
 import org.cranberrygauge.model.configuration.Configuration;
 
 /**
- * What the planner knows of the pools and of the demand.
+ * The input of a fleet planner: the state of the pools and the demand.
  *
  * @param configuration The configuration in force.
- * @param pools The backend servers that the platform lists or was asked for, by pool.
- * @param demand The demand, by model.
- * @param unavailable The pools that were lately found without supply.
- * @param reserve The number of backend servers that are needed beyond the demand, by model.
+ * @param pools The backend servers by pool that the platform lists or that were ordered.
+ * @param unavailable The pools for which orders recently failed for lack of supply.
+ * @param reserve The number of backend servers needed beyond the demand, by model.
  */
 public record FleetView(
         Configuration configuration,
@@ -20,7 +19,6 @@
         Set<String> unavailable,
         Map<String, Integer> reserve) {
 
-    /** Copies the collections. */
     public FleetView {
         pools = Map.copyOf(pools);
         demand = Map.copyOf(demand);
@@ -28,54 +26,35 @@
         reserve = Map.copyOf(reserve);
     }
 
-    /**
-     * Returns the state of a pool.
-     *
-     * @param pool The name of the pool.
-     * @return The state.
-     */
+    /** Returns the state of a pool; {@link PoolState#NONE} if the pool is unknown. */
     public PoolState pool(String pool) {
         return pools.getOrDefault(pool, PoolState.NONE);
     }
 
-    /**
-     * Returns the demand for a model.
-     *
-     * @param model The model.
-     * @return The demand.
-     */
+    /** Returns the demand for a model; {@link ModelDemand#NONE} if the model is unknown. */
     public ModelDemand demandFor(String model) {
         return demand.getOrDefault(model, ModelDemand.NONE);
     }
 
-    /**
-     * The backend servers of a pool.
-     *
-     * @param live The number that is live.
-     * @param starting The number that is starting.
-     */
+    /** The backend servers of a pool by state. */
     public record PoolState(int live, int starting) {
 
         /** An empty pool. */
         public static final PoolState NONE = new PoolState(0, 0);
 
-        /**
-         * Returns the number that is live or starting.
-         *
-         * @return The number.
-         */
+        /** Returns the number of servers that are live or starting. */
         public int present() {
             return live + starting;
         }
     }
 
     /**
-     * The demand for a model.
+     * The output tokens demanded of a model.
      *
-     * @param protectedTokensPerSecond The output tokens a second that classes ask for whose target is shorter than the
-     *     start of a backend server.
-     * @param tokensPerSecond The output tokens a second that all classes ask for.
-     * @param waitingTokens The estimated output tokens of the requests that wait.
+     * @param protectedTokensPerSecond The output tokens per second of classes whose target is shorter than the start of
+     *     a backend server.
+     * @param tokensPerSecond The output tokens per second of all classes.
+     * @param waitingTokens The estimated output tokens of the waiting requests.
      */
     public record ModelDemand(double protectedTokensPerSecond, double tokensPerSecond, double waitingTokens) {
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/ForecastFleetPlanner.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/ForecastFleetPlanner.java
@@ -11,35 +11,27 @@
 import org.cranberrygauge.model.configuration.FleetPool;
 
 /**
- * Orders backend servers for the demand that is expected when they are live, and hands idle ones back.
+ * Orders backend servers for the demand expected when they will be live, and releases idle ones.
  *
- * <p>Invariants: a pool shrinks only after its servers were seen idle for the whole idle time without a
- * gap, so not soon after another process took over, and only if the live ones that
- * remain carry the demand, so that nothing is handed back before its replacement is live; a pool that was found without
- * supply gets no larger order while it is backed off from. Used by one thread.
+ * <p>Invariants: a pool shrinks only after its servers were observed idle for the whole idle time without a gap, hence
+ * not soon after another process took over, and only if the remaining live servers carry the demand, so that no server
+ * is released before its replacement is live; a pool without supply gets no larger order during its back-off. Not
+ * thread-safe; confined to one thread.
  */
 public final class ForecastFleetPlanner implements FleetPlanner {
 
-    /** The time in which requests that wait shall be worked off in milliseconds. */
-    private static final double WORK_OFF_MILLIS = 30_000;
+    /** The time in milliseconds within which the waiting requests should be completed. */
+    private static final double BACKLOG_DRAIN_MILLIS = 30_000;
 
-    /** The time without a look after which the demand counts as unwatched in milliseconds. */
-    private static final long GAP_MILLIS = 30_000;
+    /** The time between two observations, in milliseconds, after which the observation counts as interrupted. */
+    private static final long MAXIMUM_OBSERVATION_GAP_MILLIS = 30_000;
 
-    /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** What the planner reckons with. */
     private final FleetParameters parameters;
 
-    /** What is remembered of each model. */
-    private final Map<String, Memory> memories = new HashMap<>();
+    private final Map<String, ModelHistory> histories = new HashMap<>();
 
-    /**
-     * Creates a planner.
-     *
-     * @param parameters What the planner reckons with.
-     */
     public ForecastFleetPlanner(FleetParameters parameters) {
         this.parameters = parameters;
     }
@@ -55,22 +47,15 @@
         return orders;
     }
 
-    /**
-     * Decides the pools of one model.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param view What is known.
-     * @param model The model.
-     * @return The orders.
-     */
+    /** Decides the orders for the pools of one model. */
     private List<FleetOrder> decideModel(long nowMillis, FleetView view, String model) {
         List<FleetPool> pools = view.configuration().fleet().stream()
                 .filter(pool -> pool.model().equals(model))
                 .toList();
         int fixed = fixedServers(view, model);
-        Need need = need(nowMillis, view, model);
+        RequiredServers required = required(nowMillis, view, model);
         Map<String, Integer> desired =
-                new FleetAllocation(pools, view, fixed).divide(need.servers(), need.protectedServers());
+                new FleetAllocation(pools, view, fixed).divide(required.servers(), required.protectedServers());
         List<FleetOrder> orders = new ArrayList<>();
         int live = fixed;
         for (FleetPool pool : pools) {
@@ -81,9 +66,9 @@
             int count = desired.get(pool.name());
             if (count > state.present() && !view.unavailable().contains(pool.name())) {
                 orders.add(new FleetOrder(pool.name(), count, count <= pool.minimum() ? "minimum" : "demand"));
-            } else if (count < state.present() && need.watched()) {
+            } else if (count < state.present() && required.observedIdleTime()) {
                 int liveAfter = live - Math.max(0, state.live() - count);
-                if (liveAfter >= Math.max(need.servers(), need.protectedServers())) {
+                if (liveAfter >= Math.max(required.servers(), required.protectedServers())) {
                     live = liveAfter;
                     orders.add(new FleetOrder(pool.name(), count, "idle"));
                 }
@@ -92,38 +77,26 @@
         return orders;
     }
 
-    /**
-     * Works out how many servers a model needs.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param view What is known.
-     * @param model The model.
-     * @return The need.
-     */
-    private Need need(long nowMillis, FleetView view, String model) {
-        Memory memory = memories.computeIfAbsent(model, name -> new Memory(parameters.idleMillis()));
+    /** Returns how many servers a model needs. */
+    private RequiredServers required(long nowMillis, FleetView view, String model) {
+        ModelHistory history = histories.computeIfAbsent(model, name -> new ModelHistory(parameters.idleMillis()));
         ModelDemand demand = view.demandFor(model);
-        memory.total.observe(nowMillis, demand.tokensPerSecond());
-        memory.protectedOnly.observe(nowMillis, demand.protectedTokensPerSecond());
+        history.total.observe(nowMillis, demand.tokensPerSecond());
+        history.protectedOnly.observe(nowMillis, demand.protectedTokensPerSecond());
         long leadMillis = parameters.leadMillis(1);
-        double expected = memory.total.after(leadMillis) + demand.waitingTokens() * MILLIS_PER_SECOND / WORK_OFF_MILLIS;
+        double expected =
+                history.total.forecast(leadMillis) + demand.waitingTokens() * MILLIS_PER_SECOND / BACKLOG_DRAIN_MILLIS;
         int servers = parameters.serversFor(expected) + view.reserve().getOrDefault(model, 0);
-        int protectedServers = parameters.serversFor(memory.protectedOnly.after(leadMillis));
-        memory.watch(nowMillis);
-        boolean watched = nowMillis - memory.watchedSinceMillis >= parameters.idleMillis();
-        return new Need(
-                watched,
-                memory.servers.add(nowMillis, servers),
-                memory.protectedServers.add(nowMillis, protectedServers));
+        int protectedServers = parameters.serversFor(history.protectedOnly.forecast(leadMillis));
+        history.recordObservation(nowMillis);
+        boolean observedIdleTime = nowMillis - history.observedSinceMillis >= parameters.idleMillis();
+        return new RequiredServers(
+                observedIdleTime,
+                history.servers.add(nowMillis, servers),
+                history.protectedServers.add(nowMillis, protectedServers));
     }
 
-    /**
-     * Counts the backend servers of a model that are not ordered.
-     *
-     * @param view What is known.
-     * @param model The model.
-     * @return The number.
-     */
+    /** Returns the number of backend servers of a model that are not ordered from the platform. */
     private static int fixedServers(FleetView view, String model) {
         return (int) view.configuration().backendServers().stream()
                 .filter(server -> server.kind() == BackendKind.MODEL && server.canServe(model))
@@ -131,55 +104,46 @@
     }
 
     /**
-     * The servers that a model needs.
+     * The number of servers that a model needs.
      *
-     * @param watched Whether the demand was watched for the whole idle time.
+     * @param observedIdleTime Whether the demand was observed without a gap for the whole idle time.
      * @param servers The number for all classes.
-     * @param protectedServers The number that must remain when a data centre of cheap ones vanishes.
+     * @param protectedServers The number that must remain after an eviction of a data centre's cheap servers.
      */
-    private record Need(boolean watched, int servers, int protectedServers) {}
+    private record RequiredServers(boolean observedIdleTime, int servers, int protectedServers) {}
 
-    /** What is remembered of a model. */
-    private static final class Memory {
+    /** The observations of one model. */
+    private static final class ModelHistory {
 
-        /** The forecast of all classes. */
+        /** The forecast for all classes. */
         private final DemandForecast total = new DemandForecast();
 
-        /** The forecast of the protected classes. */
+        /** The forecast for the protected classes. */
         private final DemandForecast protectedOnly = new DemandForecast();
 
-        /** The need of all classes in the last while. */
+        /** The servers needed for all classes, at their highest within the idle time. */
         private final SlidingWindowMaximum servers;
 
-        /** The need of the protected classes in the last while. */
+        /** The servers needed for the protected classes, at their highest within the idle time. */
         private final SlidingWindowMaximum protectedServers;
 
-        /** The monotonic time since which the demand is watched without a gap. */
-        private long watchedSinceMillis;
+        /** The monotonic time in milliseconds since which the demand has been observed without a gap. */
+        private long observedSinceMillis;
 
-        /** The monotonic time of the last look, or -1 for none. */
-        private long watchedAtMillis = -1;
+        /** The monotonic time of the last observation in milliseconds, or -1 for none. */
+        private long lastObservedMillis = -1;
 
-        /**
-         * Creates an empty memory.
-         *
-         * @param idleMillis The time for which a server must be idle in milliseconds.
-         */
-        Memory(long idleMillis) {
+        ModelHistory(long idleMillis) {
             servers = new SlidingWindowMaximum(idleMillis);
             protectedServers = new SlidingWindowMaximum(idleMillis);
         }
 
-        /**
-         * Notes a look at the demand.
-         *
-         * @param nowMillis The present monotonic time in milliseconds.
-         */
-        void watch(long nowMillis) {
-            if (watchedAtMillis < 0 || nowMillis - watchedAtMillis > GAP_MILLIS) {
-                watchedSinceMillis = nowMillis;
+        /** Records an observation of the demand. */
+        void recordObservation(long nowMillis) {
+            if (lastObservedMillis < 0 || nowMillis - lastObservedMillis > MAXIMUM_OBSERVATION_GAP_MILLIS) {
+                observedSinceMillis = nowMillis;
             }
-            watchedAtMillis = nowMillis;
+            lastObservedMillis = nowMillis;
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/OrderRateLimiter.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/OrderRateLimiter.java
@@ -8,19 +8,19 @@
 import java.util.stream.Collectors;
 
 /**
- * Bounds the rate of orders, and backs off from pools without supply.
+ * Limits the rate of orders, and backs off from pools without supply.
  *
- * <p>Invariants: two orders of a pool are at least the shortest interval apart; a pool that was unavailable gets no larger
- * order until its back-off is over, which doubles with each failure up to a limit; all pools together get a bounded number
- * of orders a minute. Used by one thread.
+ * <p>Invariants: two orders of a pool are at least {@link #MINIMUM_INTERVAL_MILLIS} apart; a pool that was unavailable
+ * gets no larger order until its back-off is over, which doubles with each failure up to a limit; all pools together
+ * get a bounded number of orders per minute. Not thread-safe; confined to one thread.
  */
 public final class OrderRateLimiter {
 
     /** The result of an order for which the data centre had no supply. */
     public static final String UNAVAILABLE = "unavailable";
 
-    /** The shortest time between two orders of a pool in milliseconds. */
-    private static final long SHORTEST_MILLIS = 1_000;
+    /** The minimum time between two orders of a pool in milliseconds. */
+    private static final long MINIMUM_INTERVAL_MILLIS = 1_000;
 
     /** The first back-off in milliseconds. */
     private static final long FIRST_BACKOFF_MILLIS = 5_000;
@@ -28,63 +28,48 @@
     /** The longest back-off in milliseconds. */
     private static final long LONGEST_BACKOFF_MILLIS = 300_000;
 
-    /** The time over which orders are counted in milliseconds. */
+    /** The length in milliseconds of the window in which orders are counted. */
     private static final long MINUTE_MILLIS = 60_000;
 
-    /** The highest number of orders in a minute. */
     private final int ordersPerMinute;
 
-    /** The monotonic times of the orders of the last minute. */
-    private final Deque<Long> recent = new ArrayDeque<>();
+    /** The monotonic times in milliseconds of the orders within the last minute. */
+    private final Deque<Long> recentOrders = new ArrayDeque<>();
 
-    /** The monotonic time of the last order of each pool. */
+    /** The monotonic time in milliseconds of the last order of each pool. */
     private final Map<String, Long> orderedAtMillis = new HashMap<>();
 
-    /** The pools without supply. */
+    /** The back-offs of pools without supply. */
     private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /**
-     * Creates a pacing.
+     * Creates a limiter without any recorded order.
      *
-     * @param ordersPerMinute The highest number of orders in a minute.
+     * @param ordersPerMinute The maximum number of orders per minute over all pools.
      */
     public OrderRateLimiter(int ordersPerMinute) {
         this.ordersPerMinute = ordersPerMinute;
     }
 
-    /**
-     * Tells whether a pool may be ordered now.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param pool The name of the pool.
-     * @return Whether it may.
-     */
+    /** Returns whether the rate limits allow an order of a pool now. Back-offs are not considered. */
     public boolean mayOrder(long nowMillis, String pool) {
-        while (!recent.isEmpty() && recent.peekFirst() + MINUTE_MILLIS <= nowMillis) {
-            recent.removeFirst();
+        while (!recentOrders.isEmpty() && recentOrders.peekFirst() + MINUTE_MILLIS <= nowMillis) {
+            recentOrders.removeFirst();
         }
         Long last = orderedAtMillis.get(pool);
-        boolean apart = last == null || nowMillis - last >= SHORTEST_MILLIS;
-        return apart && recent.size() < ordersPerMinute;
+        boolean intervalElapsed = last == null || nowMillis - last >= MINIMUM_INTERVAL_MILLIS;
+        return intervalElapsed && recentOrders.size() < ordersPerMinute;
     }
 
-    /**
-     * Notes that a pool was ordered.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param pool The name of the pool.
-     */
+    /** Records an order of a pool. */
     public void ordered(long nowMillis, String pool) {
-        recent.addLast(nowMillis);
+        recentOrders.addLast(nowMillis);
         orderedAtMillis.put(pool, nowMillis);
     }
 
     /**
-     * Notes what became of an order.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param pool The name of the pool.
-     * @param result The result.
+     * Records the result of an order. {@link #UNAVAILABLE} starts or doubles the back-off of the pool, any other ends
+     * it.
      */
     public void ended(long nowMillis, String pool, String result) {
         if (!result.equals(UNAVAILABLE)) {
@@ -96,12 +81,7 @@
         backoffs.put(pool, new Backoff(length, nowMillis + length));
     }
 
-    /**
-     * Lists the pools that are backed off from.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The names of the pools.
-     */
+    /** Returns the pools that are in back-off. */
     public Set<String> unavailable(long nowMillis) {
         return backoffs.entrySet().stream()
                 .filter(entry -> entry.getValue().untilMillis() > nowMillis)
@@ -110,10 +90,10 @@
     }
 
     /**
-     * A back-off.
+     * The back-off of a pool.
      *
      * @param millis The length in milliseconds.
-     * @param untilMillis The monotonic time of its end.
+     * @param untilMillis The monotonic time of its end in milliseconds.
      */
     private record Backoff(long millis, long untilMillis) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/SlidingWindowMaximum.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/SlidingWindowMaximum.java
@@ -4,33 +4,26 @@
 import java.util.Deque;
 
 /**
- * The greatest of the values of the last while.
+ * The maximum of the values within a sliding time window.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe; confined to one thread.
  */
 final class SlidingWindowMaximum {
 
-    /** The length of the while in milliseconds. */
+    /** The length of the window in milliseconds. */
     private final long windowMillis;
 
-    /** The values that may still be the greatest, falling. */
+    /** The values that may still become the maximum, in falling order. */
     private final Deque<Entry> entries = new ArrayDeque<>();
 
-    /**
-     * Creates an empty window.
-     *
-     * @param windowMillis The length of the while in milliseconds.
-     */
     SlidingWindowMaximum(long windowMillis) {
         this.windowMillis = windowMillis;
     }
 
     /**
-     * Takes a value in and returns the greatest.
+     * Adds a value and drops those that have left the window.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param value The value.
-     * @return The greatest value of the last while.
+     * @return The maximum within the window.
      */
     int add(long nowMillis, int value) {
         while (!entries.isEmpty() && entries.peekLast().value() <= value) {
@@ -43,11 +36,6 @@
         return entries.peekFirst().value();
     }
 
-    /**
-     * A value.
-     *
-     * @param atMillis The monotonic time at which it was taken in.
-     * @param value The value.
-     */
+    /** A value with the monotonic time at which it was added. */
     private record Entry(long atMillis, int value) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** How many backend servers each pool shall have. */
+/** Fleet planning: how many backend servers each pool should have. */
 package org.cranberrygauge.decision.fleet;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/DemandEstimatorTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/DemandEstimatorTest.java
@@ -21,7 +21,7 @@
             .withClasses(List.of(serviceClass("chat", 1), serviceClass("study", 3)))
             .withFleet(List.of(new FleetPool("dk-east-a", "amber-large", Supply.CHEAP, 0, 4, 1)));
 
-    private final DemandEstimator meter = new DemandEstimator();
+    private final DemandEstimator estimator = new DemandEstimator();
 
     @Test
     void the_rate_is_what_gateways_counted_since_the_last_round_and_all_but_the_lowest_tier_is_protected() {
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void a_gateway_that_was_replaced_adds_nothing_until_it_is_seen_again() {
+    void a_replaced_gateway_contributes_no_rate_until_its_next_report() {
         observe(load("host-1/1", 0, 1_000, 500, 0));
         assertThat(observe(load("host-1/2", 2_000, 9_000, 9_000, 0))).isEqualTo(ModelDemand.NONE);
     }
 
     @Test
-    void a_report_that_was_seen_before_leaves_the_rate_as_it_was() {
+    void a_repeated_report_leaves_the_rate_unchanged() {
         observe(load("host-1/1", 0, 1_000, 500, 0));
         ModelDemand demand = observe(load("host-1/1", 2_000, 1_400, 700, 0));
         assertThat(observe(load("host-1/1", 2_000, 1_400, 700, 0))).isEqualTo(demand);
@@ -48,7 +48,7 @@
     }
 
     private ModelDemand observe(GatewayLoad load) {
-        return meter.observe(CONFIGURATION, List.of(), List.of(load)).get("amber-large");
+        return estimator.observe(CONFIGURATION, List.of(), List.of(load)).get("amber-large");
     }
 
     private static GatewayLoad load(String gateway, long atMillis, long chatTokens, long studyTokens, int waiting) {
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/ForecastFleetPlannerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/ForecastFleetPlannerTest.java
@@ -31,7 +31,7 @@
     private final Map<String, PoolState> pools = new HashMap<>();
 
     @Property(seed = "20261203", tries = 300)
-    void what_remains_without_the_largest_data_centre_of_cheap_servers_carries_the_protected_classes(
+    void the_servers_that_remain_after_the_largest_eviction_carry_the_protected_classes(
             @ForAll @IntRange(max = 60) int needed, @ForAll @IntRange(max = 60) int protectedNeeded) {
         FleetAllocation allocation = new FleetAllocation(CONFIGURATION.fleet(), view(0, 0, Set.of()), 0);
         Map<String, Integer> sizes = allocation.divide(needed, Math.min(needed, protectedNeeded));
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void a_data_centre_without_supply_is_made_up_for_by_the_others() {
+    void servers_of_a_data_centre_without_supply_are_ordered_in_the_others() {
         assertThat(decide(0, 600, 0, Set.of(CHEAP_B.name())))
                 .extracting(FleetOrder::pool, FleetOrder::desiredCount)
                 .containsExactlyInAnyOrder(tuple(CHEAP_A, 3), tuple(CHEAP_C, 3));
     }
 
     @Test
-    void growing_demand_is_ordered_for_ahead_of_time() {
+    void servers_are_ordered_ahead_of_growing_demand() {
         FleetPlanner reactive = new FleetPlanner.Reactive(PARAMETERS);
         int ahead = 0;
         int following = 0;
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void idle_servers_are_handed_back_only_after_the_idle_time() {
+    void idle_servers_are_released_only_after_the_idle_time() {
         pools.put(CHEAP_A.name(), new PoolState(2, 0));
         pools.put(CHEAP_B.name(), new PoolState(1, 0));
         pools.put(CHEAP_C.name(), new PoolState(1, 0));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void a_planner_that_just_took_over_hands_nothing_back() {
+    void a_planner_that_just_took_over_releases_nothing() {
         pools.put(CHEAP_A.name(), new PoolState(4, 0));
         decideUntil(0, 600_000, 400);
         assertThat(decide(910_000, 0, 0, Set.of())).isEmpty();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/OrderRateLimiterTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/fleet/OrderRateLimiterTest.java
@@ -8,43 +8,43 @@
 
     private static final String POOL = "dk-east-b/amber-large/cheap";
 
-    private final OrderRateLimiter pacing = new OrderRateLimiter(3);
+    private final OrderRateLimiter limiter = new OrderRateLimiter(3);
 
     @Test
     void two_orders_of_a_pool_are_a_second_apart() {
-        pacing.ordered(0, POOL);
-        assertThat(pacing.mayOrder(999, POOL)).isFalse();
-        assertThat(pacing.mayOrder(1_000, POOL)).isTrue();
+        limiter.ordered(0, POOL);
+        assertThat(limiter.mayOrder(999, POOL)).isFalse();
+        assertThat(limiter.mayOrder(1_000, POOL)).isTrue();
     }
 
     @Test
-    void all_pools_together_get_a_bounded_number_of_orders_in_a_minute() {
-        pacing.ordered(0, "a");
-        pacing.ordered(0, "b");
-        pacing.ordered(0, "c");
-        assertThat(pacing.mayOrder(59_999, "d")).isFalse();
-        assertThat(pacing.mayOrder(60_000, "d")).isTrue();
+    void all_pools_together_get_a_bounded_number_of_orders_per_minute() {
+        limiter.ordered(0, "a");
+        limiter.ordered(0, "b");
+        limiter.ordered(0, "c");
+        assertThat(limiter.mayOrder(59_999, "d")).isFalse();
+        assertThat(limiter.mayOrder(60_000, "d")).isTrue();
     }
 
     @Test
-    void a_pool_without_supply_is_left_alone_for_a_time_that_doubles_up_to_five_minutes() {
+    void a_pool_without_supply_gets_a_back_off_that_doubles_up_to_five_minutes() {
         long nowMillis = 0;
         long[] expected = {5_000, 10_000, 20_000, 40_000, 80_000, 160_000, 300_000, 300_000};
         for (long length : expected) {
-            pacing.ended(nowMillis, POOL, OrderRateLimiter.UNAVAILABLE);
-            assertThat(pacing.unavailable(nowMillis + length - 1)).containsExactly(POOL);
-            assertThat(pacing.unavailable(nowMillis + length)).isEmpty();
+            limiter.ended(nowMillis, POOL, OrderRateLimiter.UNAVAILABLE);
+            assertThat(limiter.unavailable(nowMillis + length - 1)).containsExactly(POOL);
+            assertThat(limiter.unavailable(nowMillis + length)).isEmpty();
             nowMillis += length;
         }
     }
 
     @Test
     void a_pool_that_has_supply_again_starts_from_the_first_back_off() {
-        pacing.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
-        pacing.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
-        pacing.ended(0, POOL, "done");
-        assertThat(pacing.unavailable(0)).isEmpty();
-        pacing.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
-        assertThat(pacing.unavailable(5_000)).isEmpty();
+        limiter.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
+        limiter.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
+        limiter.ended(0, POOL, "done");
+        assertThat(limiter.unavailable(0)).isEmpty();
+        limiter.ended(0, POOL, OrderRateLimiter.UNAVAILABLE);
+        assertThat(limiter.unavailable(5_000)).isEmpty();
     }
 }
