--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Quarantine.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Quarantine.java
@@ -6,101 +6,57 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Keeps requests that crash backend servers from crashing more of them.
+ * Prevents requests that crash backend servers from crashing more of them.
  *
- * <p>Implementations are safe for use by several threads without locks.
+ * <p>Implementations are thread-safe and lock-free. Times are monotonic, in milliseconds.
  */
 public interface Quarantine {
 
-    /**
-     * Tells what a request may do.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @return Its standing.
-     */
+    /** Returns the restrictions on a request that follow from its past crashes. */
     QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint);
 
     /**
-     * Tells whether a request may start on a backend server.
+     * Returns whether a request may start on a backend server.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @param server The name of the backend server.
      * @param healthyServers The number of healthy backend servers of its target.
-     * @return Whether it may.
      */
     boolean mayStart(long nowMillis, RequestFingerprint fingerprint, String server, int healthyServers);
 
-    /**
-     * Notes that a run started.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param runId The run.
-     * @param server The name of the backend server.
-     */
+    /** Records the start of a run. */
     void started(long nowMillis, RunId runId, String server);
 
-    /**
-     * Notes that a run ended, however it did.
-     *
-     * @param runId The run.
-     */
+    /** Records the end of a run, whatever its outcome. */
     void ended(RunId runId);
 
     /**
-     * Notes that a backend server crashed during a run.
+     * Records the crash of a backend server during a run.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @param server The name of the backend server.
      * @param startedAtMillis The time at which the run started.
      */
     void crashed(long nowMillis, RequestFingerprint fingerprint, String server, long startedAtMillis);
 
-    /**
-     * Notes that a request was completed.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     */
+    /** Records the completion of a request. */
     void completed(long nowMillis, RequestFingerprint fingerprint);
 
-    /**
-     * Lists what peers are told.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The observations.
-     */
+    /** Returns the observations to report to peers. */
     List<QuarantineObservation> observations(long nowMillis);
 
-    /**
-     * Takes in what a peer told.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param peer The incarnation of the peer.
-     * @param observations What it told.
-     */
+    /** Updates the state with the observations of a peer. */
     void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations);
 
-    /** Suspects, isolates and holds requests as the state says, which is replaced whole. */
+    /** Applies the rules of {@link QuarantineState}, whose instances are replaced atomically. */
     final class Default implements Quarantine {
 
-        /** The state. */
         private final AtomicReference<QuarantineState> state;
 
-        /**
-         * Creates a quarantine without any suspect.
-         *
-         * @param limits The limits.
-         */
+        /** Creates a quarantine without any suspect. */
         public Default(QuarantineLimits limits) {
             state = new AtomicReference<>(QuarantineState.initial(limits));
         }
 
         @Override
         public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
-            return state.get().standing(nowMillis, fingerprint);
+            return state.get().status(nowMillis, fingerprint);
         }
 
         @Override
@@ -141,18 +97,17 @@
         }
 
         /**
-         * Replaces the state.
+         * Replaces the state atomically.
          *
-         * @param change The change, which may be made more than once.
+         * @param change The change, which may be applied more than once.
          */
         private void update(UnaryOperator<QuarantineState> change) {
             state.updateAndGet(change);
         }
     }
 
-    /** Suspects nothing, which is the baseline without protection. */
+    /** Suspects no request. A baseline without protection. */
     enum Disabled implements Quarantine {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -167,22 +122,22 @@
 
         @Override
         public void started(long nowMillis, RunId runId, String server) {
-            // Nothing is noted.
+            // No state is kept.
         }
 
         @Override
         public void ended(RunId runId) {
-            // Nothing is noted.
+            // No state is kept.
         }
 
         @Override
         public void crashed(long nowMillis, RequestFingerprint fingerprint, String server, long startedAtMillis) {
-            // Nothing is noted.
+            // No state is kept.
         }
 
         @Override
         public void completed(long nowMillis, RequestFingerprint fingerprint) {
-            // Nothing is noted.
+            // No state is kept.
         }
 
         @Override
@@ -192,7 +147,7 @@
 
         @Override
         public void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
-            // Nothing is noted.
+            // No state is kept.
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineLimits.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineLimits.java
@@ -1,31 +1,28 @@
 package org.cranberrygauge.decision.quarantine;
 
 /**
- * The limits of quarantine.
+ * The thresholds and times of the quarantine.
  *
- * @param crashes The number of crashes, one after another, after which a request is held in quarantine.
- * @param quarantineMillis The time of quarantine after the last crash in milliseconds.
- * @param memoryMillis The time after which a crash is forgotten in milliseconds.
- * @param commonCauseServers The number of backend servers that crash together from which on no request is blamed.
- * @param commonCauseMillis The time within which crashes count as together in milliseconds.
- * @param peerRunMillis The age after which the runs that a peer told of are taken as ended in milliseconds.
+ * @param crashes The number of successive crashes after which a request is quarantined.
+ * @param quarantineMillis The length of the quarantine after the last crash, in milliseconds.
+ * @param retentionMillis The time after which a crash is forgotten, in milliseconds.
+ * @param commonCauseServers The number of backend servers crashing together from which on no single request is blamed.
+ * @param commonCauseWindowMillis The time within which crashes count as simultaneous, in milliseconds.
+ * @param peerRunTimeoutMillis The time after which the runs that a peer reported are assumed to have ended, in
+ *     milliseconds.
  */
 public record QuarantineLimits(
         int crashes,
         long quarantineMillis,
-        long memoryMillis,
+        long retentionMillis,
         int commonCauseServers,
-        long commonCauseMillis,
-        long peerRunMillis) {
+        long commonCauseWindowMillis,
+        long peerRunTimeoutMillis) {
 
-    /** The limits of a gateway that sets none. */
+    /** The default limits. */
     private static final QuarantineLimits STANDARD = new QuarantineLimits(2, 300_000, 1_800_000, 3, 1_000, 2_000);
 
-    /**
-     * Returns the limits of a gateway that sets none.
-     *
-     * @return The standard limits.
-     */
+    /** Returns the default limits. */
     public static QuarantineLimits standard() {
         return STANDARD;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineState.java
@@ -10,102 +10,73 @@
 import java.util.Set;
 
 /**
- * What one gateway knows of requests that ran where a backend server crashed.
+ * The suspected requests, derived from the crashes that this gateway and its peers observed.
  *
- * <p>Invariants: a request is held in quarantine only after crashes of which each run started after the crash before it,
- * so that copies of a request that run side by side are blamed once; where suspects of several gateways met on the server
- * that crashed last, one crash more is needed, since only one of them is to blame; crashes of several backend servers together are
- * blamed on no request that ran on one of them only, since a request runs on one server at a time; a completed run clears
- * all crashes before it; what is not held is forgotten after the memory. Immutable and safe for use by several threads.
+ * <p>Invariants: a request is quarantined only after successive crashes in which each run started after the previous
+ * crash, so that concurrent copies of a request are blamed only once; where suspects of several gateways ran on the
+ * server that crashed last, one more crash is required, because only one of them is to blame; a request that ran on
+ * only one of several backend servers that crashed together is not blamed, because a request runs on one server at a
+ * time; a completed run clears all earlier crashes; a suspect that is not quarantined is forgotten after the retention
+ * time. Immutable and thread-safe.
  */
 public final class QuarantineState {
 
-    /** The limits. */
     private final QuarantineLimits limits;
 
-    /** What this gateway saw itself. */
+    /** The observations of this gateway. */
     private final CrashHistory own;
 
-    /** What each peer told last, by incarnation. */
+    /** The last observations of each peer by incarnation. */
     private final Map<String, CrashHistory> peers;
 
-    /** What follows for each suspected request. */
-    private final Map<RequestFingerprint, Verdict> verdicts;
+    /** The conclusion for each suspected request. */
+    private final Map<RequestFingerprint, Suspicion> suspicions;
 
-    /**
-     * Creates a state.
-     *
-     * @param limits The limits.
-     * @param own What this gateway saw itself.
-     * @param peers What each peer told last.
-     */
     private QuarantineState(QuarantineLimits limits, CrashHistory own, Map<String, CrashHistory> peers) {
         this.limits = limits;
         this.own = own;
         this.peers = Map.copyOf(peers);
-        this.verdicts = verdicts();
+        this.suspicions = suspicions();
     }
 
-    /**
-     * Returns the state before any crash.
-     *
-     * @param limits The limits.
-     * @return The initial state.
-     */
     public static QuarantineState initial(QuarantineLimits limits) {
         return new QuarantineState(limits, CrashHistory.NONE, Map.of());
     }
 
-    /**
-     * Tells what a request may do.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @return Its standing.
-     */
-    public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
-        Verdict verdict = verdicts.get(fingerprint);
-        if (verdict == null || nowMillis - verdict.lastMillis() >= limits.memoryMillis()) {
+    /** Returns the restrictions on a request that follow from its past crashes. */
+    public QuarantineStatus status(long nowMillis, RequestFingerprint fingerprint) {
+        Suspicion suspicion = suspicions.get(fingerprint);
+        if (suspicion == null || nowMillis - suspicion.lastMillis() >= limits.retentionMillis()) {
             return QuarantineStatus.Clear.INSTANCE;
         }
-        long remainingMillis = verdict.lastMillis() + limits.quarantineMillis() - nowMillis;
-        if (verdict.crashes() >= limits.crashes() && remainingMillis > 0) {
+        long remainingMillis = suspicion.lastMillis() + limits.quarantineMillis() - nowMillis;
+        if (suspicion.crashes() >= limits.crashes() && remainingMillis > 0) {
             return new QuarantineStatus.Quarantined(remainingMillis);
         }
         return QuarantineStatus.Suspect.INSTANCE;
     }
 
     /**
-     * Tells whether a request may start on a backend server.
+     * Returns whether a request may start on a backend server.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @param server The name of the backend server.
      * @param healthyServers The number of healthy backend servers of its target.
-     * @return Whether it may.
      */
     public boolean mayStart(long nowMillis, RequestFingerprint fingerprint, String server, int healthyServers) {
-        QuarantineStatus standing = standing(nowMillis, fingerprint);
-        if (standing == QuarantineStatus.Clear.INSTANCE) {
+        QuarantineStatus status = status(nowMillis, fingerprint);
+        if (status == QuarantineStatus.Clear.INSTANCE) {
             return true;
         }
-        if (standing instanceof QuarantineStatus.Quarantined || healthyServers < 2) {
+        if (status instanceof QuarantineStatus.Quarantined || healthyServers < 2) {
             return false;
         }
         boolean ownSuspectThere = own.running().containsValue(server);
         return !ownSuspectThere
                 && peers.values().stream()
-                        .filter(peer -> nowMillis - peer.heardAtMillis() <= limits.peerRunMillis())
+                        .filter(peer -> nowMillis - peer.receivedAtMillis() <= limits.peerRunTimeoutMillis())
                         .noneMatch(peer -> peer.running().containsValue(server));
     }
 
-    /**
-     * Notes the start of a run; only those of suspects matter.
-     *
-     * @param runId The identifier of the run in this gateway.
-     * @param server The name of the backend server.
-     * @return The refined state.
-     */
+    /** Records the start of a run. Only runs of suspects need to be recorded. */
     public QuarantineState withRun(RunId runId, String server) {
         Map<RunId, String> running = new HashMap<>(own.running());
         running.put(runId, server);
@@ -113,10 +84,9 @@
     }
 
     /**
-     * Notes the end of a run.
+     * Records the end of a run.
      *
-     * @param runId The identifier of the run in this gateway.
-     * @return The refined state; this one if the run is not known.
+     * @return The new state, or this one if the run is unknown.
      */
     public QuarantineState withoutRun(RunId runId) {
         if (!own.running().containsKey(runId)) {
@@ -128,13 +98,9 @@
     }
 
     /**
-     * Notes the crash of a backend server during the run of a request.
+     * Records the crash of a backend server during the run of a request.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @param server The name of the backend server.
-     * @param startedAtMillis The time at which the run started.
-     * @return The refined state.
+     * @param startedAtMillis The monotonic time at which the run started, in milliseconds.
      */
     public QuarantineState withCrash(
             long nowMillis, RequestFingerprint fingerprint, String server, long startedAtMillis) {
@@ -142,48 +108,34 @@
         List<CrashRecord> records = new ArrayList<>(crashes.getOrDefault(fingerprint, List.of()));
         records.add(new CrashRecord(server, startedAtMillis, nowMillis));
         crashes.put(fingerprint, List.copyOf(records));
-        return new QuarantineState(limits, own.withCrashes(crashes), peers).withoutForgotten(nowMillis);
+        return new QuarantineState(limits, own.withCrashes(crashes), peers).withoutExpired(nowMillis);
     }
 
     /**
-     * Notes that a request was completed, which clears it.
+     * Records the completion of a request, which clears earlier crashes.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The request.
-     * @return The refined state; this one if the request was not suspected.
+     * @return The new state, or this one if the request was not suspected.
      */
     public QuarantineState withCompletion(long nowMillis, RequestFingerprint fingerprint) {
-        if (!verdicts.containsKey(fingerprint) && !own.crashes().containsKey(fingerprint)) {
+        if (!suspicions.containsKey(fingerprint) && !own.crashes().containsKey(fingerprint)) {
             return this;
         }
         Map<RequestFingerprint, Long> cleared = new HashMap<>(own.cleared());
         cleared.put(fingerprint, nowMillis);
-        return new QuarantineState(limits, own.withCleared(cleared), peers).withoutForgotten(nowMillis);
+        return new QuarantineState(limits, own.withCleared(cleared), peers).withoutExpired(nowMillis);
     }
 
-    /**
-     * Takes in what a peer told.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param peer The incarnation of the peer.
-     * @param observations What it told.
-     * @return The refined state.
-     */
+    /** Replaces the observations of a peer. */
     public QuarantineState withPeer(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
         if (observations.isEmpty() && !peers.containsKey(peer)) {
             return this;
         }
         Map<String, CrashHistory> replacement = new HashMap<>(peers);
         replacement.put(peer, CrashHistory.of(nowMillis, observations));
-        return new QuarantineState(limits, own, replacement).withoutForgotten(nowMillis);
+        return new QuarantineState(limits, own, replacement).withoutExpired(nowMillis);
     }
 
-    /**
-     * Lists what this gateway tells its peers: what it saw itself.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The observations.
-     */
+    /** Returns the observations to report to peers: those of this gateway only. */
     public List<QuarantineObservation> observations(long nowMillis) {
         List<QuarantineObservation> observations = new ArrayList<>();
         own.crashes()
@@ -202,76 +154,63 @@
         return observations;
     }
 
-    /**
-     * Drops what is older than the memory.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The refined state.
-     */
-    private QuarantineState withoutForgotten(long nowMillis) {
-        long fromMillis = nowMillis - limits.memoryMillis();
+    /** Removes observations that are older than the retention time. */
+    private QuarantineState withoutExpired(long nowMillis) {
+        long fromMillis = nowMillis - limits.retentionMillis();
         Map<String, CrashHistory> remaining = new HashMap<>();
         peers.forEach((name, peer) -> {
-            CrashHistory kept = peer.after(fromMillis);
-            if (!kept.isEmpty() || nowMillis - peer.heardAtMillis() <= limits.peerRunMillis()) {
+            CrashHistory kept = peer.since(fromMillis);
+            if (!kept.isEmpty() || nowMillis - peer.receivedAtMillis() <= limits.peerRunTimeoutMillis()) {
                 remaining.put(name, kept);
             }
         });
-        return new QuarantineState(limits, own.after(fromMillis), remaining);
+        return new QuarantineState(limits, own.since(fromMillis), remaining);
     }
 
-    /**
-     * Computes what follows for each suspected request.
-     *
-     * @return The verdicts.
-     */
-    private Map<RequestFingerprint, Verdict> verdicts() {
-        Map<RequestFingerprint, List<CrashRecord>> open = openCrashes();
+    /** Computes the conclusion for each suspected request. */
+    private Map<RequestFingerprint, Suspicion> suspicions() {
+        Map<RequestFingerprint, List<CrashRecord>> open = unclearedCrashes();
         if (open.isEmpty()) {
             return Map.of();
         }
         List<CrashRecord> all = open.values().stream().flatMap(List::stream).toList();
-        Map<RequestFingerprint, List<CrashRecord>> chains = new HashMap<>();
+        Map<RequestFingerprint, List<CrashRecord>> crashChains = new HashMap<>();
         open.forEach((fingerprint, records) -> {
             List<CrashRecord> blamed = records.stream()
                     .filter(record -> !hasCommonCause(record, records, all))
                     .toList();
             if (!blamed.isEmpty()) {
-                chains.put(fingerprint, chain(blamed));
+                crashChains.put(fingerprint, successiveCrashes(blamed));
             }
         });
-        Map<RequestFingerprint, Verdict> computed = new HashMap<>();
-        chains.forEach((fingerprint, chain) -> {
-            int crashes = sharesItsLastCrash(fingerprint, chains) ? chain.size() - 1 : chain.size();
-            computed.put(fingerprint, new Verdict(crashes, last(chain).crashedAtMillis()));
+        Map<RequestFingerprint, Suspicion> computed = new HashMap<>();
+        crashChains.forEach((fingerprint, successiveCrashes) -> {
+            int crashes =
+                    sharesLastCrash(fingerprint, crashChains) ? successiveCrashes.size() - 1 : successiveCrashes.size();
+            computed.put(
+                    fingerprint, new Suspicion(crashes, last(successiveCrashes).crashedAtMillis()));
         });
         return Map.copyOf(computed);
     }
 
     /**
-     * Tells whether another request that was suspected before ran on the server that crashed last.
+     * Returns whether another request that was suspected before also ran on the server that crashed last.
      *
-     * @param fingerprint The request.
-     * @param chains The crashes by request, one after another.
-     * @return Whether the blame is shared.
+     * @param crashChains The successive crashes by request.
      */
-    private boolean sharesItsLastCrash(
-            RequestFingerprint fingerprint, Map<RequestFingerprint, List<CrashRecord>> chains) {
-        List<CrashRecord> chain = chains.get(fingerprint);
-        CrashRecord crash = last(chain);
-        return chain.size() > 1
-                && chains.entrySet().stream()
+    private boolean sharesLastCrash(
+            RequestFingerprint fingerprint, Map<RequestFingerprint, List<CrashRecord>> crashChains) {
+        List<CrashRecord> successiveCrashes = crashChains.get(fingerprint);
+        CrashRecord crash = last(successiveCrashes);
+        return successiveCrashes.size() > 1
+                && crashChains.entrySet().stream()
                         .filter(other -> !other.getKey().equals(fingerprint))
                         .flatMap(other -> other.getValue().stream().skip(1))
-                        .anyMatch(other -> other.server().equals(crash.server()) && isTogether(other, crash));
+                        .anyMatch(other -> other.server().equals(crash.server()) && isSimultaneous(other, crash));
     }
 
-    /**
-     * Collects the crashes of each request that no completed run cleared.
-     *
-     * @return The crashes by request.
-     */
-    private Map<RequestFingerprint, List<CrashRecord>> openCrashes() {
+    /** Collects the crashes of each request that were not cleared by a completed run. */
+    private Map<RequestFingerprint, List<CrashRecord>> unclearedCrashes() {
         List<CrashHistory> sources = new ArrayList<>(peers.values());
         sources.add(own);
         Map<RequestFingerprint, Long> cleared = new HashMap<>();
@@ -291,69 +230,49 @@
         return open;
     }
 
-    /**
-     * Tells whether a crash was one of many at the same time that the request can't have caused.
-     *
-     * @param record The crash.
-     * @param ownRecords All crashes of the request.
-     * @param all All crashes of all requests.
-     * @return Whether the request is not to blame.
-     */
+    /** Returns whether a crash was one of many simultaneous ones that the request cannot have caused. */
     private boolean hasCommonCause(CrashRecord record, List<CrashRecord> ownRecords, List<CrashRecord> all) {
         Set<String> servers = new HashSet<>();
-        all.stream().filter(other -> isTogether(record, other)).forEach(other -> servers.add(other.server()));
+        all.stream().filter(other -> isSimultaneous(record, other)).forEach(other -> servers.add(other.server()));
         if (servers.size() < limits.commonCauseServers()) {
             return false;
         }
-        List<CrashRecord> there =
-                ownRecords.stream().filter(other -> isTogether(record, other)).toList();
-        return chain(there).size() == 1;
+        List<CrashRecord> there = ownRecords.stream()
+                .filter(other -> isSimultaneous(record, other))
+                .toList();
+        return successiveCrashes(there).size() == 1;
     }
 
-    /**
-     * Tells whether two crashes were together.
-     *
-     * @param one A crash.
-     * @param other Another crash.
-     * @return Whether they were.
-     */
-    private boolean isTogether(CrashRecord one, CrashRecord other) {
-        return Math.abs(one.crashedAtMillis() - other.crashedAtMillis()) <= limits.commonCauseMillis();
+    private boolean isSimultaneous(CrashRecord one, CrashRecord other) {
+        return Math.abs(one.crashedAtMillis() - other.crashedAtMillis()) <= limits.commonCauseWindowMillis();
     }
 
     /**
-     * Picks crashes of which each run started after the crash before it.
+     * Selects the crashes in which each run started after the previous crash.
      *
-     * @param records The crashes.
-     * @return Those, oldest first.
+     * @return The selected crashes, oldest first.
      */
-    private static List<CrashRecord> chain(List<CrashRecord> records) {
+    private static List<CrashRecord> successiveCrashes(List<CrashRecord> records) {
         List<CrashRecord> sorted = new ArrayList<>(records);
         sorted.sort(Comparator.comparingLong(CrashRecord::crashedAtMillis));
-        List<CrashRecord> chain = new ArrayList<>();
+        List<CrashRecord> successiveCrashes = new ArrayList<>();
         for (CrashRecord record : sorted) {
-            if (chain.isEmpty() || record.follows(last(chain))) {
-                chain.add(record);
+            if (successiveCrashes.isEmpty() || record.startedAfter(last(successiveCrashes))) {
+                successiveCrashes.add(record);
             }
         }
-        return chain;
+        return successiveCrashes;
     }
 
-    /**
-     * Returns the last crash.
-     *
-     * @param chain The crashes, oldest first.
-     * @return The last one.
-     */
-    private static CrashRecord last(List<CrashRecord> chain) {
-        return chain.get(chain.size() - 1);
+    private static CrashRecord last(List<CrashRecord> successiveCrashes) {
+        return successiveCrashes.get(successiveCrashes.size() - 1);
     }
 
     /**
-     * What follows for a suspected request.
+     * The conclusion for a suspected request.
      *
-     * @param crashes The number of crashes, one after another.
-     * @param lastMillis The time of the last crash in milliseconds.
+     * @param crashes The number of successive crashes.
+     * @param lastMillis The monotonic time of the last crash in milliseconds.
      */
-    private record Verdict(int crashes, long lastMillis) {}
+    private record Suspicion(int crashes, long lastMillis) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineStatus.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/QuarantineStatus.java
@@ -1,24 +1,25 @@
 package org.cranberrygauge.decision.quarantine;
 
-/** What a request may do, as far as its past crashes tell. */
+/** The restrictions on a request that follow from its past crashes. */
 public sealed interface QuarantineStatus {
 
-    /** The request runs like any other. */
+    /** The request is not restricted. */
     enum Clear implements QuarantineStatus {
-        /** The only instance. */
         INSTANCE
     }
 
-    /** The request runs only alone among suspects and never on the last healthy backend server of its target. */
+    /**
+     * The request runs only on a backend server without another suspect, and never on the last healthy one of its
+     * target.
+     */
     enum Suspect implements QuarantineStatus {
-        /** The only instance. */
         INSTANCE
     }
 
     /**
      * The request is refused.
      *
-     * @param remainingMillis The time until the quarantine ends in milliseconds.
+     * @param remainingMillis The time until the quarantine ends, in milliseconds.
      */
     record Quarantined(long remainingMillis) implements QuarantineStatus {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/SuspectPlacement.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/SuspectPlacement.java
@@ -6,29 +6,30 @@
 import org.cranberrygauge.model.customer.KeyDigest;
 
 /**
- * Divides backend servers among gateways, so that suspects of two gateways that start at the same moment do not meet.
+ * Assigns backend servers to gateways, so that suspects of two gateways that start at the same moment do not run on the
+ * same server.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  */
 public final class SuspectPlacement {
 
-    /** The time for which a gateway keeps to its own servers, in which peers tell where their suspects run. */
-    private static final long OWN_SERVERS_MILLIS = 500;
+    /**
+     * The time in milliseconds for which a gateway uses only its own servers. Within it, peers report where their
+     * suspects run.
+     */
+    private static final long EXCLUSIVE_PLACEMENT_MILLIS = 500;
 
-    /** Prevents instances. */
     private SuspectPlacement() {}
 
     /**
-     * Tells whether a gateway may start a suspect on a backend server, as far as its peers' choices are not known yet.
+     * Returns whether a gateway may start a suspect on a backend server while the choices of its peers are not known
+     * yet.
      *
-     * @param waitedMillis The time for which the suspect has waited in milliseconds.
-     * @param gateway The incarnation of the gateway.
-     * @param gateways The incarnations of all gateways that are in touch, this one included.
-     * @param server The name of the backend server.
-     * @return Whether it may.
+     * @param waitedMillis The time for which the suspect has waited, in milliseconds.
+     * @param gateways The incarnations of all reachable gateways, including this one.
      */
     public static boolean mayStart(long waitedMillis, String gateway, Collection<String> gateways, String server) {
-        if (waitedMillis >= OWN_SERVERS_MILLIS) {
+        if (waitedMillis >= EXCLUSIVE_PLACEMENT_MILLIS) {
             return true;
         }
         return gateways.stream()
@@ -37,13 +38,7 @@
                 .isEmpty();
     }
 
-    /**
-     * Returns the weight of a gateway for a backend server; the highest owns it.
-     *
-     * @param gateway The incarnation of the gateway.
-     * @param server The name of the backend server.
-     * @return The weight.
-     */
+    /** Returns the weight of a gateway for a backend server. The gateway with the highest weight owns the server. */
     private static String weight(String gateway, String server) {
         return KeyDigest.digest((gateway + '\n' + server).getBytes(StandardCharsets.UTF_8));
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests are suspected to crash backend servers, and what they may still do. */
+/** Quarantine: which requests are suspected of crashing backend servers, and how they are restricted. */
 package org.cranberrygauge.decision.quarantine;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/retry/RetryBudget.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/retry/RetryBudget.java
@@ -3,42 +3,42 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Decides whether a failed request may be tried again.
+ * Decides whether a failed request may be retried.
  *
- * <p>Implementations are safe for use by several threads.
+ * <p>Implementations are thread-safe.
  */
 public interface RetryBudget {
 
-    /** Notes a request that succeeded, which earns a part of a retry. */
+    /** Records a successful request, which adds a fraction of a retry to the budget. */
     void succeeded();
 
     /**
      * Takes one retry from the budget.
      *
-     * @return Whether the request may be tried again.
+     * @return {@code true} if the request may be retried.
      */
     boolean tryRetry();
 
-    /** Allows retries up to a share of the successes. */
+    /** A token bucket that allows retries up to a share of the successful requests. */
     final class Share implements RetryBudget {
 
-        /** The number of parts that make one retry. */
+        /** The number of parts that make up one retry. */
         private static final long PARTS_PER_RETRY = 1_000;
 
-        /** The parts that each success earns. */
+        /** The parts added by each success. */
         private final long partsPerSuccess;
 
-        /** The most parts that can be saved. */
+        /** The maximum number of parts in the bucket. */
         private final long limitParts;
 
-        /** The parts that are saved. */
+        /** The parts in the bucket. */
         private final AtomicLong parts;
 
         /**
-         * Creates a budget.
+         * Creates a full budget.
          *
-         * @param share The share of successes that may be retried, from 0 to 1.
-         * @param burst The number of retries that can be saved, and that are there at the start.
+         * @param share The share of successful requests that may be retried, from 0 to 1.
+         * @param burst The maximum number of retries in the budget.
          */
         public Share(double share, int burst) {
             partsPerSuccess = Math.round(share * PARTS_PER_RETRY);
@@ -60,12 +60,11 @@
 
     /** Never allows a retry. */
     enum Disabled implements RetryBudget {
-        /** The only instance. */
         INSTANCE;
 
         @Override
         public void succeeded() {
-            // Nothing is earned.
+            // There is no budget to add to.
         }
 
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/retry/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a failed request may be tried again. */
+/** Retry budgets: whether a failed request may be retried. */
 package org.cranberrygauge.decision.retry;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/quarantine/QuarantineStateTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/quarantine/QuarantineStateTest.java
@@ -16,54 +16,54 @@
     private final QuarantineState initial = QuarantineState.initial(LIMITS);
 
     @Test
-    void suspectsWhatRanOnACrashedServerAndHoldsItAfterTheSecondCrash() {
+    void a_request_that_ran_on_a_crashed_server_is_suspected_and_is_quarantined_after_the_second_crash() {
         QuarantineState once = initial.withCrash(100, POISON, "a", 50);
         QuarantineState twice = once.withCrash(200, POISON, "b", 150);
 
-        assertThat(initial.standing(100, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
-        assertThat(once.standing(100, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
-        assertThat(once.standing(100, OTHER)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
-        assertThat(twice.standing(200, POISON)).isEqualTo(new QuarantineStatus.Quarantined(10_000));
+        assertThat(initial.status(100, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(once.status(100, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
+        assertThat(once.status(100, OTHER)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(twice.status(200, POISON)).isEqualTo(new QuarantineStatus.Quarantined(10_000));
     }
 
     @Test
-    void letsARequestRunAsASuspectAfterItsQuarantineAndForgetsItLater() {
+    void a_request_is_a_suspect_after_its_quarantine_and_is_forgotten_later() {
         QuarantineState twice = initial.withCrash(100, POISON, "a", 50).withCrash(200, POISON, "b", 150);
 
-        assertThat(twice.standing(10_199, POISON)).isEqualTo(new QuarantineStatus.Quarantined(1));
-        assertThat(twice.standing(10_200, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
-        assertThat(twice.standing(60_200, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(twice.status(10_199, POISON)).isEqualTo(new QuarantineStatus.Quarantined(1));
+        assertThat(twice.status(10_200, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
+        assertThat(twice.status(60_200, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
     }
 
     @Test
-    void holdsARequestAgainAfterOneMoreCrash() {
+    void a_request_is_quarantined_again_after_one_more_crash() {
         QuarantineState again = initial.withCrash(100, POISON, "a", 50)
                 .withCrash(200, POISON, "b", 150)
                 .withCrash(11_000, POISON, "c", 10_900);
 
-        assertThat(again.standing(11_000, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
+        assertThat(again.status(11_000, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
     }
 
     @Test
-    void clearsASuspectByACompletedRunAtAnyGateway() {
+    void a_completed_run_at_any_gateway_clears_a_suspect() {
         QuarantineState once = initial.withCrash(100, POISON, "a", 50);
 
-        assertThat(once.withCompletion(300, POISON).standing(300, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(once.withCompletion(300, POISON).status(300, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
         assertThat(once.withPeer(300, "peer", List.of(new QuarantineObservation.Cleared(POISON, 10)))
-                        .standing(300, POISON))
+                        .status(300, POISON))
                 .isEqualTo(QuarantineStatus.Clear.INSTANCE);
     }
 
     @Test
-    void addsUpTheCrashesThatPeersSaw() {
+    void crashes_observed_by_peers_are_counted() {
         QuarantineState state = initial.withCrash(100, POISON, "a", 50)
                 .withPeer(300, "peer", List.of(new QuarantineObservation.Crashed(POISON, "b", 40, 10)));
 
-        assertThat(state.standing(300, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
+        assertThat(state.status(300, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
     }
 
     @Test
-    void tellsPeersWhatItSawAndNotWhatItHeard() {
+    void peers_are_told_own_observations_only() {
         QuarantineState state = initial.withCrash(100, POISON, "a", 50)
                 .withPeer(100, "peer", List.of(new QuarantineObservation.Crashed(OTHER, "b", 40, 10)));
 
@@ -71,34 +71,34 @@
     }
 
     @Test
-    void blamesCopiesThatRanSideBySideOnce() {
+    void concurrent_copies_of_a_request_are_blamed_once() {
         QuarantineState state = initial.withCrash(1_000, POISON, "a", 0).withCrash(1_500, POISON, "b", 0);
 
-        assertThat(state.standing(1_500, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
+        assertThat(state.status(1_500, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
     }
 
     @Test
-    void blamesNoRequestWhenManyServersGoTogether() {
+    void no_request_is_blamed_when_many_servers_crash_together() {
         QuarantineState state = initial.withCrash(1_000, POISON, "a", 0)
                 .withCrash(1_200, OTHER, "b", 0)
                 .withCrash(1_400, RequestFingerprint.of("c", "/chat", "c"), "c", 0);
 
-        assertThat(state.standing(1_400, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
-        assertThat(state.standing(1_400, OTHER)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(state.status(1_400, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(state.status(1_400, OTHER)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
     }
 
     @Test
-    void blamesARequestThatWentFromOneCrashToTheNextThoughManyServersGoTogether() {
+    void a_request_with_successive_crashes_is_blamed_although_many_servers_crash_together() {
         QuarantineState state = initial.withCrash(1_000, POISON, "a", 900)
                 .withCrash(1_200, POISON, "b", 1_100)
                 .withCrash(1_400, OTHER, "c", 0);
 
-        assertThat(state.standing(1_400, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
-        assertThat(state.standing(1_400, OTHER)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(state.status(1_400, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
+        assertThat(state.status(1_400, OTHER)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
     }
 
     @Test
-    void startsASuspectOnlyAloneAmongSuspectsAndNotOnTheLastHealthyServer() {
+    void a_suspect_starts_only_on_a_server_without_another_suspect_and_not_on_the_last_healthy_one() {
         RunId run = new RunId(OTHER, "attempt");
         QuarantineState state = initial.withCrash(100, POISON, "a", 50)
                 .withRun(run, "b")
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void letsEverythingRunWhenDisabled() {
+    void every_request_may_run_when_disabled() {
         Quarantine disabled = Quarantine.Disabled.INSTANCE;
         disabled.crashed(100, POISON, "a", 50);
         disabled.crashed(200, POISON, "b", 150);
@@ -124,8 +124,8 @@
     }
 
     @Test
-    void holdsNoneOfTwoSuspectsThatMetOnACrashedServerUntilOneMoreCrash() {
-        QuarantineState met = initial.withCrash(100, POISON, "a", 50)
+    void two_suspects_that_shared_a_crashed_server_are_not_quarantined_until_one_more_crash() {
+        QuarantineState sharedCrash = initial.withCrash(100, POISON, "a", 50)
                 .withCrash(200, POISON, "b", 150)
                 .withPeer(
                         210,
@@ -134,10 +134,10 @@
                                 new QuarantineObservation.Crashed(OTHER, "a", 50, 110),
                                 new QuarantineObservation.Crashed(OTHER, "b", 50, 10)));
 
-        assertThat(met.standing(210, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
-        assertThat(met.standing(210, OTHER)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
-        QuarantineState later = met.withCrash(400, POISON, "c", 350);
-        assertThat(later.standing(400, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
-        assertThat(later.standing(400, OTHER)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
+        assertThat(sharedCrash.status(210, POISON)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
+        assertThat(sharedCrash.status(210, OTHER)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
+        QuarantineState later = sharedCrash.withCrash(400, POISON, "c", 350);
+        assertThat(later.status(400, POISON)).isInstanceOf(QuarantineStatus.Quarantined.class);
+        assertThat(later.status(400, OTHER)).isEqualTo(QuarantineStatus.Suspect.INSTANCE);
     }
 }
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/retry/RetryBudgetsTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/retry/RetryBudgetsTest.java
@@ -7,7 +7,7 @@
 class RetryBudgetsTest {
 
     @Test
-    void theFailuresOfOneCustomerLeaveTheRetriesOfAnother() {
+    void the_failures_of_one_customer_do_not_use_up_the_retries_of_another() {
         RetryBudgets budgets = new RetryBudgets.PerCustomer(() -> new RetryBudget.Share(0.5, 2));
 
         assertThat(drain(budgets.of("alpha", "chat"))).isEqualTo(2);
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void oneBudgetForAllIsUsedUpByOneCustomer() {
+    void a_shared_budget_can_be_used_up_by_one_customer() {
         RetryBudgets budgets = new RetryBudgets.Shared(new RetryBudget.Share(0.5, 2));
 
         assertThat(drain(budgets.of("alpha", "chat"))).isEqualTo(2);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void successesEarnRetries() {
+    void successes_add_retries_to_the_budget() {
         RetryBudget budget = new RetryBudget.Share(0.5, 2);
         drain(budget);
 
