--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/lease/LeaderElector.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/lease/LeaderElector.java
@@ -5,111 +5,98 @@
 import org.cranberrygauge.model.record.LogRecord.LeaseRelease;
 
 /**
- * Decides when this process claims the lease, and whether it holds it.
+ * Decides when this process claims the lease, and whether it holds the lease.
  *
- * <p>Invariants: the holder counts its lease from before it first sent the claim, on its monotonic clock; a claimant waits
- * the full lease and a margin from when it read the last valid claim; a process that resigned never holds again. So two processes with sound monotonic clocks never
- * hold at once, whatever the log delays. Used by one thread.
+ * <p>Invariants: the holder counts its lease from before it first sent the claim, on its monotonic clock; a claimant
+ * waits for the full lease plus a margin after it read the last valid claim; a process that resigned never holds the
+ * lease again. Two processes with sound monotonic clocks therefore never hold the lease at once, however long the log
+ * delays entries. Not thread-safe; confined to one thread.
  */
 public final class LeaderElector {
 
-    /** The part of the lease after which the holder renews. */
-    private static final int RENEWALS_PER_LEASE = 3;
+    /** The holder renews after the lease divided by this number. */
+    private static final int RENEWAL_DIVISOR = 3;
 
-    /** The part of the lease that a claimant waits beyond the lease, against clocks that run apart. */
-    private static final int MARGINS_PER_LEASE = 10;
+    /**
+     * A claimant waits beyond the lease for the lease divided by this number, to tolerate clocks with different rates.
+     */
+    private static final int MARGIN_DIVISOR = 10;
 
-    /** The incarnation of this process. */
     private final String incarnation;
 
-    /** The host of this process. */
     private final String host;
 
-    /** The lease as last read. */
+    /** The lease as last read from the log. */
     private LeaseState state = LeaseState.initial();
 
-    /** The monotonic time at which the last valid claim was read. */
-    private long readAtMillis;
+    /** The monotonic time at which the last valid claim was read, in milliseconds. */
+    private long claimReadAtMillis;
 
-    /** The monotonic time before the first of the pending claims was sent, or -1 for none. */
-    private long pendingSentAtMillis = -1;
+    /** The monotonic time before the first of the pending claims was sent, in milliseconds, or -1 for none. */
+    private long firstSentAtMillis = -1;
 
-    /** The monotonic time before the last of the pending claims was sent. */
-    private long repeatedAtMillis;
+    /** The monotonic time before the last of the pending claims was sent, in milliseconds. */
+    private long lastSentAtMillis;
 
-    /** The shortest lease that a pending claim asks for in milliseconds. */
+    /** The shortest lease that a pending claim asks for, in milliseconds. */
     private long pendingLeaseMillis;
 
-    /** The offset named by the pending claims. */
-    private long pendingPrevious;
+    /** The offset that the pending claims name as the last valid claim. */
+    private long pendingPreviousOffset;
 
-    /** The monotonic time until which this process holds the lease. */
+    /** The monotonic time until which this process holds the lease, in milliseconds. */
     private long heldUntilMillis = Long.MIN_VALUE;
 
-    /** Whether this process gave the lease up for good. */
+    /** Whether this process has given up the lease for good. */
     private boolean resigned;
 
-    /**
-     * Creates a keeper.
-     *
-     * @param incarnation The incarnation of this process.
-     * @param host The host of this process.
-     * @param nowMillis The present monotonic time in milliseconds.
-     */
     public LeaderElector(String incarnation, String host, long nowMillis) {
         this.incarnation = incarnation;
         this.host = host;
-        this.readAtMillis = nowMillis;
+        this.claimReadAtMillis = nowMillis;
     }
 
-    /**
-     * Takes in the lease as read from the log.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param read The lease as read.
-     */
-    public void observe(long nowMillis, LeaseState read) {
-        if (read.lastClaimOffset() != state.lastClaimOffset()) {
-            readAtMillis = nowMillis;
-            acceptOwnClaim(read);
+    /** Updates the elector with the lease as read from the log. */
+    public void observe(long nowMillis, LeaseState latest) {
+        if (latest.lastClaimOffset() != state.lastClaimOffset()) {
+            claimReadAtMillis = nowMillis;
+            acceptOwnClaim(latest);
         }
-        if (read.released() || !read.holder().equals(incarnation)) {
+        if (latest.released() || !latest.holder().equals(incarnation)) {
             heldUntilMillis = Long.MIN_VALUE;
         }
-        state = read;
+        state = latest;
     }
 
     /**
-     * Decides whether to claim or renew now.
+     * Decides whether to claim or renew the lease now.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param leaseMillis The length of the lease in force in milliseconds.
-     * @return The claim to append, or nothing.
+     * @param leaseMillis The configured length of the lease in milliseconds.
+     * @return The claim to append, or empty if none is due.
      */
     public Optional<LeaseClaim> decide(long nowMillis, long leaseMillis) {
-        boolean pending = pendingSentAtMillis >= 0;
-        if (resigned || pending && nowMillis - repeatedAtMillis < leaseMillis) {
+        boolean pending = firstSentAtMillis >= 0;
+        if (resigned || pending && nowMillis - lastSentAtMillis < leaseMillis) {
             return Optional.empty();
         }
         if (!pending && !isDue(nowMillis)) {
             return Optional.empty();
         }
         if (!pending) {
-            pendingSentAtMillis = nowMillis;
+            firstSentAtMillis = nowMillis;
             pendingLeaseMillis = leaseMillis;
-            pendingPrevious = state.lastClaimOffset();
+            pendingPreviousOffset = state.lastClaimOffset();
         }
-        repeatedAtMillis = nowMillis;
+        lastSentAtMillis = nowMillis;
         pendingLeaseMillis = Math.min(pendingLeaseMillis, leaseMillis);
         heldUntilMillis = Math.min(heldUntilMillis, nowMillis + leaseMillis);
         return Optional.of(new LeaseClaim(incarnation, host, state.lastClaimOffset(), leaseMillis));
     }
 
     /**
-     * Gives the lease up for good, before a planned stop; from here on this process neither holds nor claims it.
+     * Gives up the lease for good, before a planned stop. From now on this process neither holds nor claims the lease.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The release to append, or nothing if the lease is not held.
+     * @return The release to append, or empty if the lease is not held.
      */
     public Optional<LeaseRelease> resign(long nowMillis) {
         boolean held = holds(nowMillis);
@@ -118,74 +105,51 @@
         return held ? Optional.of(new LeaseRelease(incarnation, state.lastClaimOffset())) : Optional.empty();
     }
 
-    /**
-     * Tells whether this process holds the lease.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return Whether it holds the lease.
-     */
+    /** Returns whether this process holds the lease. */
     public boolean holds(long nowMillis) {
         return nowMillis < heldUntilMillis;
     }
 
     /**
-     * Returns the time left of the lease.
+     * Returns the remaining time of the lease.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
      * @return The time in milliseconds; 0 if the lease is not held.
      */
     public long remainingMillis(long nowMillis) {
         return Math.max(0, heldUntilMillis - nowMillis);
     }
 
-    /**
-     * Returns the fencing number of the lease as last read.
-     *
-     * @return The fencing number.
-     */
+    /** Returns the fencing number of the lease as last read. */
     public long fencingNumber() {
         return state.fencingNumber();
     }
 
-    /**
-     * Returns the lease as last read.
-     *
-     * @return The lease.
-     */
     public LeaseState state() {
         return state;
     }
 
     /**
-     * Starts to hold the lease if the newest valid claim is a pending one. It may be any of those that were sent, so that
-     * the lease is counted from the first.
-     *
-     * @param read The lease as read.
+     * Starts to hold the lease if the newest valid claim is a pending one. It may be any of the pending claims, so the
+     * lease counts from the first one sent.
      */
-    private void acceptOwnClaim(LeaseState read) {
-        boolean own = read.holder().equals(incarnation) && pendingSentAtMillis >= 0;
-        if (own && !resigned && pendingPrevious == state.lastClaimOffset()) {
-            heldUntilMillis = pendingSentAtMillis + pendingLeaseMillis;
+    private void acceptOwnClaim(LeaseState latest) {
+        boolean own = latest.holder().equals(incarnation) && firstSentAtMillis >= 0;
+        if (own && !resigned && pendingPreviousOffset == state.lastClaimOffset()) {
+            heldUntilMillis = firstSentAtMillis + pendingLeaseMillis;
         }
-        pendingSentAtMillis = -1;
+        firstSentAtMillis = -1;
     }
 
-    /**
-     * Tells whether a claim is due.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return Whether it is due.
-     */
     private boolean isDue(long nowMillis) {
         if (state.released()) {
             return true;
         }
         if (holds(nowMillis)) {
-            return remainingMillis(nowMillis) < state.leaseMillis() - state.leaseMillis() / RENEWALS_PER_LEASE;
+            return remainingMillis(nowMillis) < state.leaseMillis() - state.leaseMillis() / RENEWAL_DIVISOR;
         }
         if (state.holder().equals(incarnation)) {
             return true;
         }
-        return nowMillis - readAtMillis > state.leaseMillis() + state.leaseMillis() / MARGINS_PER_LEASE;
+        return nowMillis - claimReadAtMillis > state.leaseMillis() + state.leaseMillis() / MARGIN_DIVISOR;
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/lease/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/lease/package-info.java
@@ -1,2 +1,2 @@
-/** The lease by conditional claims in the log and its fencing numbers. */
+/** Leader election by conditional claims of a lease in the log, with fencing numbers. */
 package org.cranberrygauge.decision.lease;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/AdmissionFreshness.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/AdmissionFreshness.java
@@ -3,27 +3,21 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Decides whether a gateway may admit requests by the keys it knows. */
+/** Decides whether a gateway's view of the configuration is recent enough to admit requests by the keys it knows. */
 public interface AdmissionFreshness {
 
-    /**
-     * Decides whether this gateway may admit requests.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param view What this gateway knows.
-     * @return Whether it may admit requests.
-     */
+    /** Returns whether a gateway with the given view may admit requests now. */
     boolean mayAdmit(long nowMillis, View view);
 
     /**
-     * What a gateway knows of the log and of its peers.
+     * The view that a gateway has of the log and of its peers. Times are monotonic, in milliseconds.
      *
-     * @param lastLogEndMillis The monotonic time at which it last knew all that the log held, read by itself or by a peer.
+     * @param lastLogEndMillis The time at which the gateway, or a peer for it, last read the log to its end.
      * @param freshnessMillis The longest time without news of the log.
      * @param configurationVersion The version in force at this gateway.
-     * @param logOffset The offset up to which it has read the log.
-     * @param member Whether it is a member as far as it has read the log.
-     * @param otherMembers The number of other members as far as it has read the log.
+     * @param logOffset The offset up to which this gateway has read the log.
+     * @param member Whether this gateway is a member, as far as it has read the log.
+     * @param otherMembers The number of other members, as far as this gateway has read the log.
      * @param peers The last report of each peer.
      */
     record View(
@@ -35,38 +29,25 @@
             int otherMembers,
             Collection<PeerReport> peers) {
 
-        /** Copies the reports. */
         public View {
             peers = List.copyOf(peers);
         }
 
-        /**
-         * Tells whether this gateway knew all that the log held within the longest time.
-         *
-         * @param nowMillis The present monotonic time in milliseconds.
-         * @return Whether it did.
-         */
+        /** Returns whether this gateway knew the whole log within the freshness time. */
         boolean isFresh(long nowMillis) {
             return nowMillis - lastLogEndMillis <= freshnessMillis;
         }
 
-        /**
-         * Returns the peers that were heard within the longest time.
-         *
-         * @param nowMillis The present monotonic time in milliseconds.
-         * @return Their reports.
-         */
-        List<PeerReport> inTouch(long nowMillis) {
+        /** Returns the peers that were heard within the freshness time. */
+        List<PeerReport> reachable(long nowMillis) {
             return peers.stream()
                     .filter(peer -> nowMillis - peer.heardAtMillis() <= freshnessMillis)
                     .toList();
         }
 
         /**
-         * Tells whether a peer knows something of the log that this gateway must take over first.
-         *
-         * @param peer The report of the peer.
-         * @return Whether it does.
+         * Returns whether a peer knows a newer configuration or, if its view is fresh, more of the log, so that this
+         * gateway must catch up before it admits.
          */
         boolean isBehind(PeerReport peer) {
             boolean peerFresh = peer.logAgeMillis() <= freshnessMillis;
@@ -75,15 +56,15 @@
     }
 
     /**
-     * Admits while the view is fresh, or while a peer is in touch and none that is knows more; stops when this gateway is
-     * cut off from the log and from every peer although others are members, and while it is no member itself.
+     * Admits while the view is fresh, or while at least one peer is reachable and none of the reachable ones is ahead
+     * of this gateway. Stops while this gateway is cut off from the log and from every peer although there are other
+     * members, and while it is not a member itself.
      *
-     * <p>A peer that stops or is no member yet counts as in touch: it shows that the network carries. What was heard before
-     * a pause of the process is too old to count, so that a thawed gateway waits for news. Stateless and safe for use by
-     * several threads.
+     * <p>A peer that is stopping or is not a member yet counts as reachable, because it shows that the network works.
+     * Reports received before a pause of the process are too old to count, so a resumed gateway waits for new ones.
+     * Stateless and thread-safe.
      */
     enum Default implements AdmissionFreshness {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -94,18 +75,17 @@
             if (view.isFresh(nowMillis) || view.otherMembers() == 0) {
                 return true;
             }
-            List<PeerReport> inTouch = view.inTouch(nowMillis);
-            return !inTouch.isEmpty() && inTouch.stream().noneMatch(view::isBehind);
+            List<PeerReport> reachable = view.reachable(nowMillis);
+            return !reachable.isEmpty() && reachable.stream().noneMatch(view::isBehind);
         }
     }
 
     /**
-     * Admits while the view is fresh, or while more than half of the members are in touch, this one included.
+     * Admits while the view is fresh, or while a majority of the members is reachable, including this one.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum Majority implements AdmissionFreshness {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -113,18 +93,17 @@
             if (!view.member()) {
                 return false;
             }
-            int reached = view.inTouch(nowMillis).size() + 1;
-            return view.isFresh(nowMillis) || 2 * reached > view.otherMembers() + 1;
+            int reachableCount = view.reachable(nowMillis).size() + 1;
+            return view.isFresh(nowMillis) || 2 * reachableCount > view.otherMembers() + 1;
         }
     }
 
     /**
      * Admits only while the view is fresh, so that a log outage stops all traffic.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum Strict implements AdmissionFreshness {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -133,9 +112,8 @@
         }
     }
 
-    /** Always admits, which is the baseline without protection. */
+    /** Always admits. A baseline without protection. */
     enum Disabled implements AdmissionFreshness {
-        /** The only instance. */
         INSTANCE;
 
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayFailureDetector.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayFailureDetector.java
@@ -8,37 +8,36 @@
 /**
  * Decides which gateways the lease holder declares gone, so that a change can be accepted without them.
  *
- * <p>A gateway that was declared gone and reads of it joins again before it admits.
+ * <p>A gateway that reads that it was declared gone joins again before it admits requests.
  */
 public interface GatewayFailureDetector {
 
     /**
-     * Decides which gateways are gone.
+     * Returns the gateways to declare gone.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param members The gateways as they stand in the log.
-     * @param sightings What is known of their hosts.
+     * @param hosts The liveness of the members' hosts.
      * @return The records to append.
      */
-    List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings);
+    List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> hosts);
 
     /**
-     * Declares a gateway gone once the platform no longer lists its host and nobody heard it for a time.
+     * Declares a gateway gone once the platform no longer lists its host and no gateway has heard from it for a time.
      *
-     * <p>Silence alone is no proof, since a gateway that is cut off together with a peer goes on serving. Immutable and safe
-     * for use by several threads.
+     * <p>Silence alone does not prove a failure, because a gateway that is cut off together with a peer goes on
+     * serving. Immutable and thread-safe.
      *
-     * @param absenceMillis The time without either in milliseconds; longer than the freshness bound and the list's lag.
+     * @param absenceMillis The time without listing and without contact in milliseconds; longer than the freshness time
+     *     and the lag of the platform's list.
      */
     record Unlisted(long absenceMillis) implements GatewayFailureDetector {
 
         @Override
-        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings) {
-            return sightings.stream()
+        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> hosts) {
+            return hosts.stream()
                     .filter(HostLiveness::listed)
-                    .filter(sighting -> nowMillis - sighting.lastListedMillis() > absenceMillis)
-                    .filter(sighting -> nowMillis - sighting.lastHeardMillis() > absenceMillis)
-                    .map(sighting -> members.onHost(sighting.host()))
+                    .filter(liveness -> nowMillis - liveness.lastListedMillis() > absenceMillis)
+                    .filter(liveness -> nowMillis - liveness.lastHeardMillis() > absenceMillis)
+                    .map(liveness -> members.onHost(liveness.host()))
                     .flatMap(Optional::stream)
                     .map(member -> new GatewayLeft(member.gateway(), "host_unlisted"))
                     .toList();
@@ -46,32 +45,29 @@
     }
 
     /**
-     * Declares a gateway gone once nobody heard it for a time, which is the baseline that trusts heartbeats alone.
+     * Declares a gateway gone once no gateway has heard from it for a time. A baseline that trusts heartbeats alone.
      *
-     * <p>Immutable and safe for use by several threads.
-     *
-     * @param silenceMillis The time in milliseconds.
+     * <p>Immutable and thread-safe.
      */
     record Silent(long silenceMillis) implements GatewayFailureDetector {
 
         @Override
-        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings) {
-            return sightings.stream()
-                    .filter(sighting -> nowMillis - sighting.lastHeardMillis() > silenceMillis)
-                    .map(sighting -> members.onHost(sighting.host()))
+        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> hosts) {
+            return hosts.stream()
+                    .filter(liveness -> nowMillis - liveness.lastHeardMillis() > silenceMillis)
+                    .map(liveness -> members.onHost(liveness.host()))
                     .flatMap(Optional::stream)
                     .map(member -> new GatewayLeft(member.gateway(), "silent"))
                     .toList();
         }
     }
 
-    /** Declares none gone; only a new gateway on the same host or an operator replaces one. */
+    /** Declares no gateway gone. Only a new gateway on the same host or an operator replaces one. */
     enum Disabled implements GatewayFailureDetector {
-        /** The only instance. */
         INSTANCE;
 
         @Override
-        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> sightings) {
+        public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> hosts) {
             return List.of();
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayMember.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayMember.java
@@ -1,11 +1,8 @@
 package org.cranberrygauge.decision.membership;
 
 /**
- * A gateway that joined and did not leave, as it stands in the log.
+ * A gateway that has joined and not left, as recorded in the log.
  *
- * @param gateway The incarnation of the gateway.
- * @param host The host.
- * @param dataCentre The name of its data centre.
- * @param address The address of its peers' exchange.
+ * @param address The address on which its peers exchange reports with it.
  */
 public record GatewayMember(String gateway, String host, String dataCentre, String address) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLiveness.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLiveness.java
@@ -1,11 +1,10 @@
 package org.cranberrygauge.decision.membership;
 
 /**
- * What a process knows of a host on which a gateway is a member.
+ * The liveness of a host on which a gateway is a member, as known to one process.
  *
- * @param host The host.
- * @param listed Whether the platform listed it since the gateway joined.
- * @param lastListedMillis The monotonic time at which the platform last listed it.
- * @param lastHeardMillis The monotonic time at which its gateway was last heard by any gateway.
+ * @param listed Whether the platform has listed the host.
+ * @param lastListedMillis The monotonic time at which the platform last listed the host, in milliseconds.
+ * @param lastHeardMillis The monotonic time at which any gateway last heard from the host's gateway, in milliseconds.
  */
 public record HostLiveness(String host, boolean listed, long lastListedMillis, long lastHeardMillis) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLivenessTracker.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLivenessTracker.java
@@ -9,36 +9,35 @@
 import java.util.Set;
 
 /**
- * When each host on which a gateway is a member was last listed by the platform and last heard.
+ * Tracks when each host on which a gateway is a member was last listed by the platform and last heard from.
  *
- * <p>Invariants: a time never falls; absence counts only while the list is read again and again, so that an outage of the
- * platform makes no host absent. Used by one thread.
+ * <p>Invariants: recorded times never decrease; absence counts only while the platform's list is read regularly, so
+ * that an outage of the platform makes no host absent. Not thread-safe; confined to one thread.
  */
 public final class HostLivenessTracker {
 
-    /** The longest time between two reads of the list after which absence counts from the later one, in milliseconds. */
-    private static final long LONGEST_INTERVAL_MILLIS = 2_000;
+    /** The time between two reads of the list, in milliseconds, above which absence counts only from the later read. */
+    private static final long MAXIMUM_READ_INTERVAL_MILLIS = 2_000;
 
-    /** The hosts that the platform ever listed. */
+    /** The hosts that the platform has listed at any time. */
     private final Set<String> everListed = new HashSet<>();
 
-    /** The monotonic time at which each host was last listed. */
+    /** The monotonic time at which each host was last listed, in milliseconds. */
     private final Map<String, Long> listedAtMillis = new HashMap<>();
 
-    /** The monotonic time at which each host was last heard. */
+    /** The monotonic time at which each host was last heard from, in milliseconds. */
     private final Map<String, Long> heardAtMillis = new HashMap<>();
 
-    /** The monotonic time at which the platform's list was last read. */
+    /** The monotonic time at which the platform's list was last read, in milliseconds. */
     private long readAtMillis;
 
     /**
-     * Takes in the platform's list.
+     * Updates the tracker with the platform's list.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param hosts The hosts that it holds, live or leaving.
+     * @param hosts The listed hosts, live or leaving.
      */
     public void listed(long nowMillis, Collection<String> hosts) {
-        if (nowMillis - readAtMillis > LONGEST_INTERVAL_MILLIS) {
+        if (nowMillis - readAtMillis > MAXIMUM_READ_INTERVAL_MILLIS) {
             listedAtMillis.replaceAll((host, atMillis) -> nowMillis);
         }
         readAtMillis = nowMillis;
@@ -48,30 +47,24 @@
         }
     }
 
-    /**
-     * Notes that the gateway of a host answered.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param host The host.
-     */
+    /** Records a sign of life from the gateway of a host. */
     public void heard(long nowMillis, String host) {
         heardAtMillis.merge(host, nowMillis, Math::max);
     }
 
     /**
-     * Returns what is known of the hosts of all members.
+     * Returns the liveness of the hosts of all members.
      *
-     * @param nowMillis The present monotonic time in milliseconds, from which hosts count that are new here.
-     * @param members The gateways as they stand in the log.
-     * @return The sightings.
+     * @param nowMillis The current monotonic time in milliseconds, from which absence counts for hosts that are new
+     *     here.
      */
     public List<HostLiveness> of(long nowMillis, Membership members) {
-        List<HostLiveness> sightings = new ArrayList<>();
+        List<HostLiveness> result = new ArrayList<>();
         for (String host : members.byHost().keySet()) {
             long heard = heardAtMillis.computeIfAbsent(host, name -> nowMillis);
             long listed = listedAtMillis.computeIfAbsent(host, name -> nowMillis);
-            sightings.add(new HostLiveness(host, everListed.contains(host), listed, heard));
+            result.add(new HostLiveness(host, everListed.contains(host), listed, heard));
         }
-        return sightings;
+        return result;
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/Membership.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/Membership.java
@@ -8,25 +8,18 @@
 import org.cranberrygauge.model.record.LogRecord.GatewayLeft;
 
 /**
- * The gateways that joined and did not leave, as they stand in the log.
+ * The gateways that have joined and not left, as recorded in the log.
  *
- * <p>Invariants: a host has at most one member, since a new incarnation on a host replaces the old one; the same log
- * prefix gives the same members in every reader. Immutable and safe for use by several threads.
- *
- * @param byHost The members by host.
+ * <p>Invariants: a host has at most one member, because a new incarnation on a host replaces the old one; all readers
+ * of the same log prefix see the same members. Immutable and thread-safe.
  */
 public record Membership(Map<String, GatewayMember> byHost) {
 
-    /** Copies the map. */
     public Membership {
         byHost = Map.copyOf(byHost);
     }
 
-    /**
-     * Returns the state before any join.
-     *
-     * @return The initial state.
-     */
+    /** Returns the state before any join. */
     public static Membership initial() {
         return new Membership(Map.of());
     }
@@ -34,8 +27,7 @@
     /**
      * Applies a join that was read from the log.
      *
-     * @param joined The join.
-     * @return The state after it.
+     * @return The state after the join.
      */
     public Membership apply(GatewayJoined joined) {
         Map<String, GatewayMember> next = new HashMap<>(byHost);
@@ -46,10 +38,9 @@
     }
 
     /**
-     * Applies the end of an incarnation that was read from the log.
+     * Applies a leave that was read from the log.
      *
-     * @param left The end.
-     * @return The state after it.
+     * @return The state after the leave.
      */
     public Membership apply(GatewayLeft left) {
         Map<String, GatewayMember> next = new HashMap<>(byHost);
@@ -58,41 +49,27 @@
     }
 
     /**
-     * Returns the member that runs on a host.
+     * Returns the member on a host.
      *
-     * @param host The host.
-     * @return The member, or nothing.
+     * @return The member, or empty if the host has none.
      */
     public Optional<GatewayMember> onHost(String host) {
         return Optional.ofNullable(byHost.get(host));
     }
 
-    /**
-     * Returns all members.
-     *
-     * @return The members.
-     */
     public Collection<GatewayMember> all() {
         return byHost.values();
     }
 
     /**
-     * Tells whether an incarnation is a member. One that is not may have been declared gone, and others may then take a
-     * change for accepted without it.
-     *
-     * @param gateway The incarnation.
-     * @return Whether it is a member.
+     * Returns whether an incarnation is a member. One that is not may have been declared gone, in which case others may
+     * take a change as accepted without it.
      */
     public boolean contains(String gateway) {
         return byHost.values().stream().anyMatch(member -> member.gateway().equals(gateway));
     }
 
-    /**
-     * Builds the state from a list of members.
-     *
-     * @param members The members.
-     * @return The state.
-     */
+    /** Creates the state from a list of members. */
     public static Membership of(Collection<GatewayMember> members) {
         Map<String, GatewayMember> byHost = new HashMap<>();
         members.forEach(member -> byHost.put(member.host(), member));
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/PeerReport.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/PeerReport.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What a peer last said of itself.
+ * The last report of a peer about itself.
  *
  * @param gateway The incarnation of the peer.
- * @param heardAtMillis The monotonic time of this process at which it was heard.
+ * @param heardAtMillis The monotonic time of this process at which the report was received, in milliseconds.
  * @param configurationVersion The version in force at the peer.
  * @param logOffset The offset up to which the peer has read the log.
- * @param logAgeMillis The time since the peer read the end of the log, when it spoke.
+ * @param logAgeMillis The time since the peer read the end of the log, as of the report, in milliseconds.
  * @param inFlight The requests in flight from the peer by backend server.
- * @param draining Whether the peer stops.
+ * @param draining Whether the peer is stopping.
  * @param waiting The requests that wait at the peer by class.
  */
 public record PeerReport(
@@ -24,23 +24,12 @@
         boolean draining,
         Map<String, Integer> waiting) {
 
-    /** Copies the maps. */
     public PeerReport {
         inFlight = Map.copyOf(inFlight);
         waiting = Map.copyOf(waiting);
     }
 
-    /**
-     * Creates the report of a peer at which nothing waits.
-     *
-     * @param gateway The incarnation of the peer.
-     * @param heardAtMillis The monotonic time of this process at which it was heard.
-     * @param configurationVersion The version in force at the peer.
-     * @param logOffset The offset up to which the peer has read the log.
-     * @param logAgeMillis The time since the peer read the end of the log, when it spoke.
-     * @param inFlight The requests in flight from the peer by backend server.
-     * @param draining Whether the peer stops.
-     */
+    /** Creates the report of a peer without waiting requests. */
     public PeerReport(
             String gateway,
             long heardAtMillis,
@@ -53,9 +42,9 @@
     }
 
     /**
-     * Returns the work that the peer asks for.
+     * Returns the demand of the peer.
      *
-     * @return The requests in flight and waiting.
+     * @return The number of requests in flight and waiting.
      */
     public double demand() {
         int requests = inFlight.values().stream().mapToInt(Integer::intValue).sum();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/lease/LeaderElectorTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/lease/LeaderElectorTest.java
@@ -10,76 +10,77 @@
 
     private static final long LEASE_MILLIS = 6_000;
 
-    private final LeaderElector keeper = new LeaderElector("a", "host-a", 0);
+    private final LeaderElector elector = new LeaderElector("a", "host-a", 0);
 
     @Test
     void a_claim_that_is_sent_again_counts_from_the_first_sending() {
-        LeaseClaim first = keeper.decide(0, LEASE_MILLIS).orElseThrow();
-        assertThat(keeper.decide(5_999, LEASE_MILLIS)).isEmpty();
-        assertThat(keeper.decide(6_000, LEASE_MILLIS)).contains(first);
+        LeaseClaim first = elector.decide(0, LEASE_MILLIS).orElseThrow();
+        assertThat(elector.decide(5_999, LEASE_MILLIS)).isEmpty();
+        assertThat(elector.decide(6_000, LEASE_MILLIS)).contains(first);
 
-        keeper.observe(6_100, LeaseState.initial().apply(1, first));
+        elector.observe(6_100, LeaseState.initial().apply(1, first));
 
-        assertThat(keeper.holds(6_100)).isFalse();
+        assertThat(elector.holds(6_100)).isFalse();
     }
 
     @Test
     void a_claim_that_is_read_back_after_its_lease_is_over_is_renewed_at_once_and_not_held_before() {
-        LeaseClaim claim = keeper.decide(0, LEASE_MILLIS).orElseThrow();
+        LeaseClaim claim = elector.decide(0, LEASE_MILLIS).orElseThrow();
         LeaseState late = LeaseState.initial().apply(1, claim);
-        keeper.observe(10_000, late);
-        assertThat(keeper.holds(10_000)).isFalse();
+        elector.observe(10_000, late);
+        assertThat(elector.holds(10_000)).isFalse();
 
-        LeaseClaim renewal = keeper.decide(10_000, LEASE_MILLIS).orElseThrow();
+        LeaseClaim renewal = elector.decide(10_000, LEASE_MILLIS).orElseThrow();
         LeaseState renewed = late.apply(2, renewal);
-        keeper.observe(10_050, renewed);
+        elector.observe(10_050, renewed);
 
-        assertThat(keeper.holds(15_999)).isTrue();
-        assertThat(keeper.holds(16_000)).isFalse();
+        assertThat(elector.holds(15_999)).isTrue();
+        assertThat(elector.holds(16_000)).isFalse();
         assertThat(renewed.fencingNumber()).isEqualTo(1);
     }
 
     @Test
     void a_renewal_for_a_shorter_lease_shortens_the_lease_before_it_is_read_back() {
-        keeper.observe(
-                10, LeaseState.initial().apply(1, keeper.decide(0, LEASE_MILLIS).orElseThrow()));
-        assertThat(keeper.decide(2_100, 1_000)).isPresent();
+        elector.observe(
+                10,
+                LeaseState.initial().apply(1, elector.decide(0, LEASE_MILLIS).orElseThrow()));
+        assertThat(elector.decide(2_100, 1_000)).isPresent();
 
-        assertThat(keeper.holds(3_099)).isTrue();
-        assertThat(keeper.holds(3_100)).isFalse();
+        assertThat(elector.holds(3_099)).isTrue();
+        assertThat(elector.holds(3_100)).isFalse();
     }
 
     @Test
     void a_claimant_waits_the_lease_that_the_last_claim_states_and_a_margin() {
-        keeper.observe(1_000, LeaseState.initial().apply(7, new LeaseClaim("b", "host-b", 0, 2_000)));
+        elector.observe(1_000, LeaseState.initial().apply(7, new LeaseClaim("b", "host-b", 0, 2_000)));
 
-        assertThat(keeper.decide(3_200, LEASE_MILLIS)).isEmpty();
-        assertThat(keeper.decide(3_201, LEASE_MILLIS)).isPresent();
+        assertThat(elector.decide(3_200, LEASE_MILLIS)).isEmpty();
+        assertThat(elector.decide(3_201, LEASE_MILLIS)).isPresent();
     }
 
     @Test
     void a_process_that_resigned_neither_holds_nor_claims_again() {
         LeaseState held =
-                LeaseState.initial().apply(1, keeper.decide(0, LEASE_MILLIS).orElseThrow());
-        keeper.observe(10, held);
-        LeaseClaim renewal = keeper.decide(2_100, LEASE_MILLIS).orElseThrow();
-        LeaseRelease release = keeper.resign(2_110).orElseThrow();
-        assertThat(keeper.holds(2_110)).isFalse();
+                LeaseState.initial().apply(1, elector.decide(0, LEASE_MILLIS).orElseThrow());
+        elector.observe(10, held);
+        LeaseClaim renewal = elector.decide(2_100, LEASE_MILLIS).orElseThrow();
+        LeaseRelease release = elector.resign(2_110).orElseThrow();
+        assertThat(elector.holds(2_110)).isFalse();
 
-        keeper.observe(2_120, held.apply(release).apply(3, renewal));
+        elector.observe(2_120, held.apply(release).apply(3, renewal));
 
-        assertThat(keeper.holds(2_120)).isFalse();
-        assertThat(keeper.decide(20_000, LEASE_MILLIS)).isEmpty();
+        assertThat(elector.holds(2_120)).isFalse();
+        assertThat(elector.decide(20_000, LEASE_MILLIS)).isEmpty();
     }
 
     @Test
-    void a_lost_race_is_not_taken_for_the_own_claim() {
-        LeaseClaim claim = keeper.decide(0, LEASE_MILLIS).orElseThrow();
+    void a_lost_race_is_not_mistaken_for_an_own_claim() {
+        LeaseClaim claim = elector.decide(0, LEASE_MILLIS).orElseThrow();
         LeaseState others = LeaseState.initial().apply(1, new LeaseClaim("b", "host-b", 0, LEASE_MILLIS));
 
-        keeper.observe(50, others.apply(2, claim));
+        elector.observe(50, others.apply(2, claim));
 
-        assertThat(keeper.holds(50)).isFalse();
-        assertThat(keeper.decide(60, LEASE_MILLIS)).isEmpty();
+        assertThat(elector.holds(50)).isFalse();
+        assertThat(elector.decide(60, LEASE_MILLIS)).isEmpty();
     }
 }
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/AdmissionFreshnessTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/AdmissionFreshnessTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void a_stale_gateway_goes_on_beside_a_peer_that_is_as_stale_even_if_that_one_stops() {
+    void a_stale_gateway_keeps_admitting_beside_an_equally_stale_peer_even_if_that_one_is_stopping() {
         PeerReport stale = peer(NOW_MILLIS - 200, 5, 50, 90_000, false);
         PeerReport stopping = peer(NOW_MILLIS - 200, 5, 50, 90_000, true);
 
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void a_stale_gateway_waits_for_what_a_peer_knows_more() {
+    void a_stale_gateway_waits_until_it_has_caught_up_with_its_peers() {
         PeerReport fresher = peer(NOW_MILLIS - 200, 5, 51, 100, false);
         PeerReport newer = peer(NOW_MILLIS - 200, 6, 51, 90_000, false);
         PeerReport longerLog = peer(NOW_MILLIS - 200, 5, 51, 90_000, false);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void a_thawed_gateway_does_not_count_what_it_heard_before_the_pause() {
+    void a_gateway_resumed_after_a_pause_ignores_reports_received_before_it() {
         PeerReport old = peer(NOW_MILLIS - FRESHNESS_MILLIS - 1, 5, 50, 0, false);
 
         assertThat(rule.mayAdmit(NOW_MILLIS, view(LONG_AGO_MILLIS, true, 3, old)))
@@ -61,17 +61,17 @@
     }
 
     @Test
-    void a_host_is_gone_only_when_the_platform_stopped_listing_it_and_nobody_hears_it() {
+    void a_host_is_gone_only_when_the_platform_stopped_listing_it_and_no_gateway_hears_it() {
         Membership members = Membership.of(List.of(new GatewayMember("g", "host-1", "d", "a:1")));
-        GatewayFailureDetector gone = new GatewayFailureDetector.Unlisted(10_000);
+        GatewayFailureDetector detector = new GatewayFailureDetector.Unlisted(10_000);
 
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, 0, 0))))
+        assertThat(detector.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, 0, 0))))
                 .hasSize(1);
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, NOW_MILLIS, 0))))
+        assertThat(detector.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, NOW_MILLIS, 0))))
                 .isEmpty();
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, 0, NOW_MILLIS))))
+        assertThat(detector.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", true, 0, NOW_MILLIS))))
                 .isEmpty();
-        assertThat(gone.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", false, 0, 0))))
+        assertThat(detector.decide(NOW_MILLIS, members, List.of(new HostLiveness("host-1", false, 0, 0))))
                 .isEmpty();
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
@@ -8,9 +8,9 @@
 
 class HostLivenessTrackerTest {
 
-    private static final GatewayFailureDetector RULE = new GatewayFailureDetector.Unlisted(10_000);
+    private static final GatewayFailureDetector DETECTOR = new GatewayFailureDetector.Unlisted(10_000);
 
-    private final HostLivenessTracker sightings = new HostLivenessTracker();
+    private final HostLivenessTracker tracker = new HostLivenessTracker();
     private final Membership members = Membership.initial()
             .apply(new GatewayJoined("host-1/1", "host-1", "a", "127.0.0.1:1"))
             .apply(new GatewayJoined("host-2/1", "host-2", "a", "127.0.0.1:2"));
@@ -20,10 +20,10 @@
         read(0, 1_000, List.of("host-1", "host-2"));
         read(1_000, 12_500, List.of("host-1"));
 
-        assertThat(RULE.decide(12_500, members, sightings.of(12_500, members)))
+        assertThat(DETECTOR.decide(12_500, members, tracker.of(12_500, members)))
                 .extracting("gateway")
                 .containsExactly("host-2/1");
-        assertThat(GatewayFailureDetector.Disabled.INSTANCE.decide(12_500, members, sightings.of(12_500, members)))
+        assertThat(GatewayFailureDetector.Disabled.INSTANCE.decide(12_500, members, tracker.of(12_500, members)))
                 .isEmpty();
     }
 
@@ -31,30 +31,33 @@
     void a_host_that_is_still_heard_is_not_gone() {
         read(0, 1_000, List.of("host-1", "host-2"));
         read(1_000, 12_500, List.of("host-1"));
-        sightings.heard(12_000, "host-2");
+        tracker.heard(12_000, "host-2");
 
-        assertThat(RULE.decide(12_500, members, sightings.of(12_500, members))).isEmpty();
+        assertThat(DETECTOR.decide(12_500, members, tracker.of(12_500, members)))
+                .isEmpty();
     }
 
     @Test
-    void an_outage_of_the_platform_makes_no_host_gone() {
+    void an_outage_of_the_platform_does_not_make_a_host_gone() {
         read(0, 1_000, List.of("host-1", "host-2"));
-        sightings.listed(60_000, List.of("host-1"));
+        tracker.listed(60_000, List.of("host-1"));
 
-        assertThat(RULE.decide(60_000, members, sightings.of(60_000, members))).isEmpty();
+        assertThat(DETECTOR.decide(60_000, members, tracker.of(60_000, members)))
+                .isEmpty();
     }
 
     @Test
     void a_host_that_the_platform_never_listed_is_not_gone() {
         read(0, 60_000, List.of());
 
-        assertThat(RULE.decide(60_000, members, sightings.of(60_000, members))).isEmpty();
+        assertThat(DETECTOR.decide(60_000, members, tracker.of(60_000, members)))
+                .isEmpty();
     }
 
     private void read(long fromMillis, long toMillis, List<String> hosts) {
         for (long nowMillis = fromMillis; nowMillis <= toMillis; nowMillis += 500) {
-            sightings.listed(nowMillis, hosts);
-            sightings.of(nowMillis, members);
+            tracker.listed(nowMillis, hosts);
+            tracker.of(nowMillis, members);
         }
     }
 }
