--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningAction.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningAction.java
@@ -1,53 +1,30 @@
 package org.cranberrygauge.decision.cleaning;
 
-/** What is to be done for cleaning. */
+/** A step of the weekly cleaning of backend servers. */
 public sealed interface CleaningAction {
 
-    /**
-     * Returns the backend server that the action is about.
-     *
-     * @return The name of the backend server.
-     */
+    /** Returns the backend server to act on. */
     String backendServer();
 
-    /**
-     * Give a backend server no new work.
-     *
-     * @param drainId The identifier of the drain.
-     * @param backendServer The name of the backend server.
-     */
+    /** Drain a backend server, so that it gets no new work. */
     record Start(String drainId, String backendServer) implements CleaningAction {}
 
     /**
-     * Give a backend server work again before it was empty, and try again later.
+     * End a drain before the backend server was empty, and try again later.
      *
-     * @param drainId The identifier of the drain.
-     * @param backendServer The name of the backend server.
      * @param reason The reason code.
      */
     record Suspend(String drainId, String backendServer, String reason) implements CleaningAction {}
 
-    /**
-     * Give a cleaned backend server work again.
-     *
-     * @param drainId The identifier of the drain.
-     * @param backendServer The name of the backend server.
-     */
+    /** End the drain of a backend server that was cleaned. */
     record Finish(String drainId, String backendServer) implements CleaningAction {}
 
-    /**
-     * Give a backend server work again since its window is over.
-     *
-     * @param drainId The identifier of the drain.
-     * @param backendServer The name of the backend server.
-     */
+    /** End the drain of a backend server because its window is over. */
     record Release(String drainId, String backendServer) implements CleaningAction {}
 
     /**
-     * Report that a backend server was not cleaned in its window; it is planned for the next.
+     * Report that a backend server was not cleaned in its window. It is due again in the next window.
      *
-     * @param drainId The identifier of the drain.
-     * @param backendServer The name of the backend server.
      * @param reason The reason code.
      */
     record Missed(String drainId, String backendServer, String reason) implements CleaningAction {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningOccurrence.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningOccurrence.java
@@ -9,23 +9,19 @@
 import org.cranberrygauge.model.configuration.CleaningWindow;
 
 /**
- * One week's occurrence of a cleaning window.
+ * One weekly occurrence of a cleaning window.
  *
- * @param dataCentre The name of the data centre.
- * @param startMillis The start in milliseconds of the epoch.
- * @param endMillis The end in milliseconds of the epoch.
+ * @param startMillis The start in milliseconds since the epoch.
+ * @param endMillis The end in milliseconds since the epoch.
  */
 public record CleaningOccurrence(String dataCentre, long startMillis, long endMillis) {
 
-    /** The number of days in a week. */
     private static final long WEEK_DAYS = 7;
 
     /**
-     * Finds the last occurrence that has begun.
+     * Returns the most recent occurrence that has begun.
      *
-     * @param window The window.
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @return The occurrence.
+     * @param wallMillis The current time in milliseconds since the epoch.
      */
     public static CleaningOccurrence last(CleaningWindow window, long wallMillis) {
         ZonedDateTime now = Instant.ofEpochMilli(wallMillis).atZone(ZoneOffset.UTC);
@@ -41,21 +37,15 @@
     }
 
     /**
-     * Tells whether the occurrence is open.
+     * Returns whether the window is open.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @return Whether it is.
+     * @param wallMillis The current time in milliseconds since the epoch.
      */
     public boolean isOpen(long wallMillis) {
         return wallMillis >= startMillis && wallMillis < endMillis;
     }
 
-    /**
-     * Names the drain of a backend server in this occurrence.
-     *
-     * @param backendServer The name of the backend server.
-     * @return The identifier of the drain.
-     */
+    /** Returns the identifier of a backend server's drain in this occurrence. */
     public String drainId(String backendServer) {
         return CleaningPlanner.DRAIN_PREFIX + startMillis + "/" + backendServer;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningPlanner.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningPlanner.java
@@ -10,55 +10,58 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * Decides which backend servers are emptied, and when they get work again.
+ * Decides which backend servers are drained for cleaning, and when they return to service.
  *
- * <p>Invariants: a drain starts only in its window, and only if the servers that remain for each model carry the work in
- * flight and waiting with a margin, which is larger while another server of the model is drained; a server counts as empty
- * only while all gateways report and none has a request on it; no drain is ended by force, a server that is not empty when
- * its window closes goes back to work and is reported as missed. What stands in the log decides what was cleaned, so that a
- * new holder of the lease goes on where the last one stopped. Used by one thread.
+ * <p>Invariants: a drain starts only within its window, and only if the remaining servers of each model can carry the
+ * requests in flight and waiting with a margin, which is larger while another server of the model is drained; a server
+ * counts as empty only while all gateways report and none has a request on it; no request is cut: a server that is not
+ * empty when its window closes returns to service and is reported as missed. What was cleaned is derived from the log,
+ * so that a new holder of the lease continues where the last one stopped. Not thread-safe; confined to one thread.
  */
 public final class CleaningPlanner {
 
-    /** The beginning of the identifiers of drains for cleaning. */
+    /** The prefix of the identifiers of cleaning drains. */
     public static final String DRAIN_PREFIX = "cleaning/";
 
-    /** The share of the remaining slots that the work may fill when the first server of a model is drained. */
-    private static final double FIRST_SHARE = 0.8;
+    /** The fraction of the remaining slots that the work may fill when the first server of a model is drained. */
+    private static final double FIRST_DRAIN_UTILIZATION = 0.8;
 
-    /** The share of the remaining slots that the work may fill when another server of the model is drained already. */
-    private static final double FURTHER_SHARE = 0.5;
+    /**
+     * The fraction of the remaining slots that the work may fill when another server of the model is already drained.
+     */
+    private static final double FURTHER_DRAIN_UTILIZATION = 0.5;
 
-    /** The time for which a server must be seen without a request before it counts as empty in milliseconds. */
+    /** The time for which a server must be seen without a request before it counts as empty, in milliseconds. */
     private static final long SETTLE_MILLIS = 3_000;
 
-    /** The time after a window closed during which misses are reported in milliseconds. */
-    private static final long REPORT_MILLIS = 3_600_000;
+    /** The time after the end of a window within which misses are reported, in milliseconds. */
+    private static final long MISS_REPORT_MILLIS = 3_600_000;
 
-    /** The time that cleaning an empty server takes in milliseconds. */
+    /** The time that cleaning an empty server takes, in milliseconds. */
     private final long cleaningMillis;
 
-    /** The time since which each drained server is seen without a request, by drain. */
+    /**
+     * The time since which each drained server has been seen without a request, by drain, in milliseconds since the
+     * epoch.
+     */
     private final Map<String, Long> emptySinceMillis = new HashMap<>();
 
-    /** The misses that were reported. */
+    /** The drains whose misses were reported. */
     private final Set<String> reported = new HashSet<>();
 
     /**
-     * Creates a planner.
+     * Creates a planner that has not observed any server yet.
      *
-     * @param cleaningMillis The time that cleaning an empty server takes in milliseconds.
+     * @param cleaningMillis The time that cleaning an empty server takes, in milliseconds.
      */
     public CleaningPlanner(long cleaningMillis) {
         this.cleaningMillis = cleaningMillis;
     }
 
     /**
-     * Decides what is to be done.
+     * Returns the actions that are due.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @param view What is known.
-     * @return The decision.
+     * @param wallMillis The current time in milliseconds since the epoch.
      */
     public Decision decide(long wallMillis, CleaningView view) {
         List<CleaningAction> actions = new ArrayList<>();
@@ -80,42 +83,35 @@
     }
 
     /**
-     * Decides for the servers of one window.
+     * Decides the actions for the servers of one window.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @param view What is known.
-     * @param occurrence The occurrence of the window.
      * @param drained The servers that are drained or about to be.
-     * @param decision Takes what is decided.
+     * @param decision Collects the actions.
      */
     private void decide(
             long wallMillis, CleaningView view, CleaningOccurrence occurrence, Set<String> drained, Decision decision) {
         for (BackendServer server : view.servers()) {
-            boolean concerned =
+            boolean inScope =
                     server.kind() == BackendKind.MODEL && server.dataCentre().equals(occurrence.dataCentre());
             String drainId = occurrence.drainId(server.name());
-            if (!concerned || view.drains().hasEnded(drainId)) {
+            if (!inScope || view.drains().hasEnded(drainId)) {
                 continue;
             }
             if (view.drains().drains().containsKey(drainId) && drained.contains(server.name())) {
-                goOn(wallMillis, view, occurrence, server, decision);
+                continueDrain(wallMillis, view, occurrence, server, decision);
             } else if (occurrence.isOpen(wallMillis)) {
                 start(wallMillis, view, occurrence, server, drained, decision);
             } else {
-                miss(wallMillis, view, occurrence, server.name(), "no_capacity", decision);
+                reportMissed(wallMillis, view, occurrence, server.name(), "no_capacity", decision);
             }
         }
     }
 
     /**
-     * Starts to empty a server if the others carry its work.
+     * Starts the drain of a server if the others can carry its work.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @param view What is known.
-     * @param occurrence The occurrence of the window.
-     * @param server The server.
      * @param drained The servers that are drained or about to be.
-     * @param decision Takes what is decided.
+     * @param decision Collects the actions.
      */
     private void start(
             long wallMillis,
@@ -129,7 +125,7 @@
             return;
         }
         for (String model : server.serves()) {
-            if (!othersCarry(view, server, model, drained)) {
+            if (!canOthersCarry(view, server, model, drained)) {
                 decision.reserve().merge(model, 1, Integer::sum);
                 return;
             }
@@ -139,15 +135,11 @@
     }
 
     /**
-     * Goes on with a server that is being emptied or cleaned.
+     * Continues with a server that is being emptied or cleaned.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @param view What is known.
-     * @param occurrence The occurrence of the window.
-     * @param server The server.
-     * @param decision Takes what is decided.
+     * @param decision Collects the actions.
      */
-    private void goOn(
+    private void continueDrain(
             long wallMillis,
             CleaningView view,
             CleaningOccurrence occurrence,
@@ -158,8 +150,8 @@
             emptySinceMillis.remove(drainId);
             if (!occurrence.isOpen(wallMillis)) {
                 String reason = view.complete() ? "requests_in_flight" : "gateway_silent";
-                miss(wallMillis, view, occurrence, server.name(), reason, decision);
-            } else if (view.complete() && isStarved(view, server)) {
+                reportMissed(wallMillis, view, occurrence, server.name(), reason, decision);
+            } else if (view.complete() && lacksCapacity(view, server)) {
                 decision.actions().add(new CleaningAction.Suspend(drainId, server.name(), "capacity_lost"));
             }
             return;
@@ -172,16 +164,12 @@
     }
 
     /**
-     * Reports a miss once, and gives the server work again until the log says so.
+     * Reports a miss once. Ends the drain repeatedly until the end is in the log.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @param view What is known.
-     * @param occurrence The occurrence of the window.
-     * @param server The name of the server.
      * @param reason The reason code.
-     * @param decision Takes what is decided.
+     * @param decision Collects the actions.
      */
-    private void miss(
+    private void reportMissed(
             long wallMillis,
             CleaningView view,
             CleaningOccurrence occurrence,
@@ -192,21 +180,19 @@
         if (view.drains().drains().containsKey(drainId)) {
             decision.actions().add(new CleaningAction.Release(drainId, server));
         }
-        if (wallMillis < occurrence.endMillis() + REPORT_MILLIS && reported.add(drainId)) {
+        if (wallMillis < occurrence.endMillis() + MISS_REPORT_MILLIS && reported.add(drainId)) {
             decision.actions().add(new CleaningAction.Missed(drainId, server, reason));
         }
     }
 
     /**
-     * Tells whether the servers that remain for a model carry its work.
+     * Returns whether the remaining servers of a model can carry its work.
      *
-     * @param view What is known.
-     * @param candidate The server that shall be emptied.
-     * @param model The model.
+     * @param candidate The server to drain.
      * @param drained The servers that are drained or about to be.
-     * @return Whether they do.
      */
-    private static boolean othersCarry(CleaningView view, BackendServer candidate, String model, Set<String> drained) {
+    private static boolean canOthersCarry(
+            CleaningView view, BackendServer candidate, String model, Set<String> drained) {
         int slots = 0;
         int work = view.waiting();
         boolean first = true;
@@ -219,17 +205,11 @@
             boolean remains = !drained.contains(server.name()) && !server.name().equals(candidate.name());
             slots += remains ? server.slots() : 0;
         }
-        return slots > 0 && work <= slots * (first ? FIRST_SHARE : FURTHER_SHARE);
+        return slots > 0 && work <= slots * (first ? FIRST_DRAIN_UTILIZATION : FURTHER_DRAIN_UTILIZATION);
     }
 
-    /**
-     * Tells whether a model of a drained server has no room left elsewhere while requests wait.
-     *
-     * @param view What is known.
-     * @param drained The drained server.
-     * @return Whether the server is needed back.
-     */
-    private static boolean isStarved(CleaningView view, BackendServer drained) {
+    /** Returns whether, for a model of a drained server, requests are waiting and no other server has a free slot. */
+    private static boolean lacksCapacity(CleaningView view, BackendServer drained) {
         for (String model : drained.serves()) {
             int free = view.servers().stream()
                     .filter(server -> server.canServe(model) && !view.drains().isDrained(server.name()))
@@ -243,10 +223,10 @@
     }
 
     /**
-     * What was decided.
+     * The actions that are due and the reserve that they need.
      *
-     * @param actions What is to be done.
-     * @param reserve The number of backend servers that are needed beyond the demand, by model.
+     * @param actions The actions that are due.
+     * @param reserve The number of backend servers needed beyond the demand, by model.
      */
     public record Decision(List<CleaningAction> actions, Map<String, Integer> reserve) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningView.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/CleaningView.java
@@ -7,14 +7,13 @@
 import org.cranberrygauge.model.configuration.CleaningWindow;
 
 /**
- * What the cleaning planner knows.
+ * The input of the cleaning planner.
  *
- * @param windows The cleaning windows.
  * @param servers The backend servers that are configured or listed as live.
- * @param drains The drains that stand in the log.
- * @param inFlight The requests in flight by backend server, from all gateways.
- * @param waiting The requests that wait, at all gateways.
- * @param complete Whether every gateway that is a member reported lately, so that no request in flight is unknown.
+ * @param drains The drains recorded in the log.
+ * @param inFlight The requests in flight from all gateways, by backend server.
+ * @param waiting The number of requests waiting at all gateways.
+ * @param complete Whether all member gateways reported recently, so that no request in flight is unknown.
  */
 public record CleaningView(
         List<CleaningWindow> windows,
@@ -24,19 +23,13 @@
         int waiting,
         boolean complete) {
 
-    /** Copies the collections. */
     public CleaningView {
         windows = List.copyOf(windows);
         servers = List.copyOf(servers);
         inFlight = Map.copyOf(inFlight);
     }
 
-    /**
-     * Returns the requests in flight on a backend server.
-     *
-     * @param backendServer The name of the backend server.
-     * @return The number.
-     */
+    /** Returns the requests in flight on a backend server. */
     public int inFlightOn(String backendServer) {
         return inFlight.getOrDefault(backendServer, 0);
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/cleaning/package-info.java
@@ -1,2 +1,2 @@
-/** The weekly emptying of backend servers, one after another and without cutting a request. */
+/** The weekly cleaning of backend servers, which are drained one after another without cutting a request. */
 package org.cranberrygauge.decision.cleaning;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationProblem.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationProblem.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.decision.configuration;
 
 /**
- * A fault of a configuration.
+ * A rule that a configuration violates.
  *
  * @param path The path of the field, such as classes[2].tier.
  * @param message What is wrong and what is allowed.
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationState.java
@@ -6,21 +6,16 @@
 /**
  * The state machine of accepted configurations.
  *
- * <p>Invariants: the version never falls; a change takes effect only if its base is the version in force, so that of two
- * racing changes one is a conflict; the same log prefix gives the same state in every reader. Immutable and safe for use
- * by several threads.
+ * <p>Invariants: the version never decreases; a change takes effect only if its base is the version in force, so that
+ * one of two racing changes is a conflict; all readers of the same log prefix see the same state. Immutable and
+ * thread-safe.
  *
  * @param current The configuration in force.
  * @param lastChangeId The identifier of the change that brought it into force.
- * @param lastOperator The operator of that change.
  */
 public record ConfigurationState(VersionedConfiguration current, String lastChangeId, String lastOperator) {
 
-    /**
-     * Returns the state before any change.
-     *
-     * @return The initial state.
-     */
+    /** Returns the state before any change. */
     public static ConfigurationState initial() {
         return new ConfigurationState(VersionedConfiguration.initial(), "", "");
     }
@@ -29,8 +24,7 @@
      * Applies a change that was read from the log.
      *
      * @param offset The offset of its log entry.
-     * @param change The change.
-     * @return The state and what became of the change.
+     * @return The state and the verdict on the change.
      */
     public Result apply(long offset, ConfigurationChange change) {
         if (change.changeId().equals(lastChangeId)) {
@@ -46,23 +40,20 @@
         return new Result(new ConfigurationState(next, change.changeId(), change.operator()), Verdict.ACCEPTED);
     }
 
-    /** What became of a change. */
+    /** The verdict on a change. */
     public enum Verdict {
-        /** The change is in force. */
         ACCEPTED,
-        /** The change is a copy of the one in force. */
         COPY,
         /** The base of the change is no longer in force. */
         CONFLICT,
-        /** The configuration fails its checks. */
+        /** The configuration violates a rule. */
         INVALID
     }
 
     /**
      * The result of applying a change.
      *
-     * @param machine The state after the change.
-     * @param verdict What became of the change.
+     * @param state The state after the change.
      */
-    public record Result(ConfigurationState machine, Verdict verdict) {}
+    public record Result(ConfigurationState state, Verdict verdict) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationValidator.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/ConfigurationValidator.java
@@ -17,67 +17,56 @@
 import org.cranberrygauge.model.service.ServiceRoute;
 
 /**
- * Checks a configuration as a whole.
+ * Validates a configuration as a whole.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  */
 public final class ConfigurationValidator {
 
-    /** The highest number of tiers. */
+    /** The number of tiers. */
     private static final int TIERS = 8;
 
-    /** The number of minutes in a day. */
     private static final int MINUTES_PER_DAY = 24 * 60;
 
-    /** The problems found so far. */
     private final List<ConfigurationProblem> problems = new ArrayList<>();
 
-    /** The configuration that is checked. */
     private final Configuration configuration;
 
-    /**
-     * Creates the checks of one configuration.
-     *
-     * @param configuration The configuration.
-     */
     private ConfigurationValidator(Configuration configuration) {
         this.configuration = configuration;
     }
 
     /**
-     * Finds the faults of a configuration.
+     * Returns the rules that a configuration violates.
      *
-     * @param configuration The configuration.
-     * @return The faults; empty if there are none.
+     * @return The violations; empty if the configuration is valid.
      */
     public static List<ConfigurationProblem> problems(Configuration configuration) {
-        ConfigurationValidator checks = new ConfigurationValidator(configuration);
-        checks.checkNames();
-        checks.checkClasses();
-        checks.checkCustomers();
-        checks.checkRoutes();
-        checks.checkBackendServers();
-        checks.checkFleet();
-        checks.checkCleaning();
-        checks.checkTimes();
-        return List.copyOf(checks.problems);
+        ConfigurationValidator validator = new ConfigurationValidator(configuration);
+        validator.checkNames();
+        validator.checkClasses();
+        validator.checkCustomers();
+        validator.checkRoutes();
+        validator.checkBackendServers();
+        validator.checkFleet();
+        validator.checkCleaning();
+        validator.checkTimes();
+        return List.copyOf(validator.problems);
     }
 
-    /** Checks that names are present and unique. */
     private void checkNames() {
         if (configuration.deployment().isBlank()) {
             report("deployment", "a name is required");
         }
-        unique("dataCentres", configuration.dataCentres(), DataCentre::name);
-        unique("classes", configuration.classes(), ServiceClass::name);
-        unique("customers", configuration.customers(), Customer::name);
-        unique("models", configuration.models(), Function.identity());
-        unique("backendServers", configuration.backendServers(), BackendServer::name);
-        unique("fleet", configuration.fleet(), FleetPool::name);
-        unique("routes", configuration.routes(), route -> route.method() + " " + route.pathPrefix());
+        requireUnique("dataCentres", configuration.dataCentres(), DataCentre::name);
+        requireUnique("classes", configuration.classes(), ServiceClass::name);
+        requireUnique("customers", configuration.customers(), Customer::name);
+        requireUnique("models", configuration.models(), Function.identity());
+        requireUnique("backendServers", configuration.backendServers(), BackendServer::name);
+        requireUnique("fleet", configuration.fleet(), FleetPool::name);
+        requireUnique("routes", configuration.routes(), route -> route.method() + " " + route.pathPrefix());
     }
 
-    /** Checks tiers, shares and targets. */
     private void checkClasses() {
         double shares = 0;
         for (int index = 0; index < configuration.classes().size(); index++) {
@@ -100,7 +89,6 @@
         require(shares <= 1, "classes", "the guaranteed shares add up to " + shares + ", at most 1 is allowed");
     }
 
-    /** Checks customers, their keys and classes. */
     private void checkCustomers() {
         Set<String> classes = names(configuration.classes(), ServiceClass::name);
         Set<String> digests = new HashSet<>();
@@ -111,17 +99,16 @@
             for (String className : customer.classes()) {
                 require(classes.contains(className), path + ".classes", "unknown class " + className);
             }
-            unique(path + ".keys", customer.keys(), CustomerKey::name);
+            requireUnique(path + ".keys", customer.keys(), CustomerKey::name);
             for (CustomerKey key : customer.keys()) {
                 require(
                         digests.add(key.digest().hexadecimal()),
                         path + ".keys",
-                        "the key " + key.name() + " is used twice");
+                        "key " + key.name() + " duplicates another key");
             }
         }
     }
 
-    /** Checks routes to plain services. */
     private void checkRoutes() {
         Set<String> classes = names(configuration.classes(), ServiceClass::name);
         for (int index = 0; index < configuration.routes().size(); index++) {
@@ -136,7 +123,6 @@
         }
     }
 
-    /** Checks backend servers. */
     private void checkBackendServers() {
         Set<String> dataCentres = names(configuration.dataCentres(), DataCentre::name);
         for (int index = 0; index < configuration.backendServers().size(); index++) {
@@ -151,7 +137,6 @@
         }
     }
 
-    /** Checks the pools of ordered backend servers. */
     private void checkFleet() {
         Set<String> dataCentres = names(configuration.dataCentres(), DataCentre::name);
         for (int index = 0; index < configuration.fleet().size(); index++) {
@@ -165,7 +150,6 @@
         }
     }
 
-    /** Checks the cleaning windows. */
     private void checkCleaning() {
         Set<String> dataCentres = names(configuration.dataCentres(), DataCentre::name);
         for (int index = 0; index < configuration.cleaningWindows().size(); index++) {
@@ -180,7 +164,7 @@
         }
     }
 
-    /** Checks the times of the control functions. */
+    /** Checks timeouts and intervals. */
     private void checkTimes() {
         require(configuration.times().leaseMillis() > 0, "times.leaseMillis", "must be above 0");
         require(
@@ -200,9 +184,7 @@
     /**
      * Reports a problem unless a condition holds.
      *
-     * @param condition The condition.
      * @param path The path of the field.
-     * @param message The message.
      */
     private void require(boolean condition, String path, String message) {
         if (!condition) {
@@ -210,41 +192,24 @@
         }
     }
 
-    /**
-     * Reports a problem.
-     *
-     * @param path The path of the field.
-     * @param message The message.
-     */
     private void report(String path, String message) {
         problems.add(new ConfigurationProblem(path, message));
     }
 
     /**
-     * Reports names that are blank or stand twice.
+     * Reports names that are blank or not unique.
      *
-     * @param path The path of the list.
-     * @param items The items.
-     * @param name Reads the name of an item.
-     * @param <T> The type of the items.
+     * @param name Returns the name of an item.
      */
-    private <T> void unique(String path, List<T> items, Function<T, String> name) {
+    private <T> void requireUnique(String path, List<T> items, Function<T, String> name) {
         Set<String> seen = new HashSet<>();
         for (int index = 0; index < items.size(); index++) {
             String text = name.apply(items.get(index));
             require(!text.isBlank(), path + "[" + index + "]", "a name is required");
-            require(seen.add(text), path + "[" + index + "]", "the name " + text + " stands twice");
+            require(seen.add(text), path + "[" + index + "]", "duplicate name " + text);
         }
     }
 
-    /**
-     * Collects names.
-     *
-     * @param items The items.
-     * @param name Reads the name of an item.
-     * @param <T> The type of the items.
-     * @return The names.
-     */
     private static <T> Set<String> names(List<T> items, Function<T, String> name) {
         return items.stream().map(name).collect(Collectors.toUnmodifiableSet());
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/KeyIndex.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/KeyIndex.java
@@ -9,42 +9,27 @@
 import org.cranberrygauge.model.customer.KeyDigest;
 
 /**
- * An index from the digest of a key to its customer.
+ * An index of customers by the digest of their keys.
  *
- * <p>Immutable and safe for use by several threads; a new index replaces it with each configuration.
+ * <p>Immutable and thread-safe; replaced by a new index with each configuration.
  */
 public final class KeyIndex {
 
-    /** The index without any key. */
     private static final KeyIndex EMPTY = new KeyIndex(Map.of());
 
-    /** The customers by the digest of their keys. */
+    /** The key owners by the digest of the key. */
     private final Map<KeyDigest, Owner> owners;
 
-    /**
-     * Creates an index.
-     *
-     * @param owners The customers by the digest of their keys.
-     */
     private KeyIndex(Map<KeyDigest, Owner> owners) {
         this.owners = owners;
     }
 
-    /**
-     * Returns the index without any key.
-     *
-     * @return The empty index.
-     */
+    /** Returns the index without any key. */
     public static KeyIndex empty() {
         return EMPTY;
     }
 
-    /**
-     * Builds the index of a configuration.
-     *
-     * @param configuration The configuration.
-     * @return The index.
-     */
+    /** Creates the index of all keys in a configuration. */
     public static KeyIndex of(Configuration configuration) {
         Map<KeyDigest, Owner> owners = new HashMap<>();
         for (Customer customer : configuration.customers()) {
@@ -56,20 +41,14 @@
     }
 
     /**
-     * Finds the owner of a key.
+     * Returns the owner of a key.
      *
-     * @param digest The digest of the key.
-     * @return The owner, or nothing if the key is unknown or withdrawn.
+     * @return The owner, or empty if the key is unknown or withdrawn.
      */
     public Optional<Owner> owner(KeyDigest digest) {
         return Optional.ofNullable(owners.get(digest));
     }
 
-    /**
-     * The owner of a key.
-     *
-     * @param customer The customer.
-     * @param keyName The name of the key.
-     */
+    /** The customer that a key belongs to, with the name of the key. */
     public record Owner(Customer customer, String keyName) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The state machine of accepted configurations, its checks and the index of keys. */
+/** Accepted configurations: the state machine, validation and the index of keys. */
 package org.cranberrygauge.decision.configuration;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/ReservationDecision.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/ReservationDecision.java
@@ -2,37 +2,29 @@
 
 import org.cranberrygauge.model.record.LogRecord.ReservationOutcome;
 
-/** What a caller's keyed call is answered with. */
+/** The decision on a call with an idempotency key. */
 public sealed interface ReservationDecision {
 
-    /** The reservation won its key and the call may be dispatched once. */
+    /** The call holds the reservation of its key and may be dispatched once. */
     enum Won implements ReservationDecision {
-        /** The only instance. */
         INSTANCE
     }
 
-    /** The key is reserved with another body. */
+    /** The key is reserved by a call with a different body. */
     enum OtherBody implements ReservationDecision {
-        /** The only instance. */
         INSTANCE
     }
 
-    /** The call of that key still runs. */
+    /** The call that holds the key is still running. */
     enum Running implements ReservationDecision {
-        /** The only instance. */
         INSTANCE
     }
 
-    /** The outcome of the call of that key is unknown, and it is not run again. */
+    /** The outcome of the call that holds the key is unknown, and the call is not run again. */
     enum Unknown implements ReservationDecision {
-        /** The only instance. */
         INSTANCE
     }
 
-    /**
-     * The call of that key was answered.
-     *
-     * @param outcome The recorded outcome.
-     */
+    /** The call that holds the key was answered. */
     record Answered(ReservationOutcome outcome) implements ReservationDecision {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/Reservations.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/Reservations.java
@@ -11,205 +11,173 @@
 import org.cranberrygauge.model.record.LogRecord.ReservationOutcome;
 
 /**
- * The table of reserved calls.
+ * The table of reservations for calls that run at most once.
  *
- * <p>Invariants: of all reservations of one customer, route and key within the retention, the one with the lowest offset
- * wins in every reader; a call whose outcome is known or unknown never gets a second winner; only a recorded outcome of
- * "not run", a release by an operator or the end of the retention frees the key; an identifier reserves one key only. Time is that of the log, so that every
- * reader forgets at the same entry. One thread writes; any thread reads.
+ * <p>Invariants: of all reservations of one customer, route and key within the retention, all readers see the one with
+ * the lowest offset as the winner; a call that was answered or has an unknown outcome never gets a second winner; only
+ * a recorded outcome of "not run", a release by an operator or the end of the retention frees the key; an identifier
+ * reserves one key only. Times are those of the log, so all readers expire a reservation at the same entry. One thread
+ * writes; any thread may read.
  */
 public final class Reservations {
 
-    /** The time after which a reserved call can no longer be on its way to a backend server in milliseconds. */
-    private static final long LONGEST_CALL_MILLIS = 600_000;
+    /** The time after which a reserved call can no longer be in transit to a backend server, in milliseconds. */
+    private static final long MAXIMUM_CALL_MILLIS = 600_000;
 
-    /** The winners by key. */
-    private final Map<Name, ReservationState> winners = new ConcurrentHashMap<>();
+    /** The winners by customer, route and key. */
+    private final Map<ScopedKey, ReservationState> winners = new ConcurrentHashMap<>();
 
-    /** The keys by the identifier of their winner, in the order in which they were reserved; used by one thread. */
-    private final Map<String, Name> names = new LinkedHashMap<>();
+    /** The keys by the identifier of their winner, in the order of reservation; confined to the writing thread. */
+    private final Map<String, ScopedKey> scopedKeys = new LinkedHashMap<>();
 
     /**
      * Applies a reservation that was read from the log.
      *
      * @param offset The offset of its log entry.
-     * @param appendedAtMillis The time at which the log took it in milliseconds of the epoch.
-     * @param reservation The reservation.
-     * @return The verdict for the call that wrote it.
+     * @param appendedAtMillis The time at which the log accepted the entry, in milliseconds since the epoch.
+     * @return The decision for the call that made the reservation.
      */
     public ReservationDecision reserve(long offset, long appendedAtMillis, Reservation reservation) {
-        Name name = Name.of(reservation);
-        ReservationState winner = winners.get(name);
-        if (winner == null && names.containsKey(reservation.reservationId())) {
+        ScopedKey scopedKey = ScopedKey.of(reservation);
+        ReservationState winner = winners.get(scopedKey);
+        if (winner == null && scopedKeys.containsKey(reservation.reservationId())) {
             return ReservationDecision.OtherBody.INSTANCE;
         }
         if (winner == null) {
-            winners.put(name, new ReservationState(offset, appendedAtMillis, reservation, null));
-            names.put(reservation.reservationId(), name);
+            winners.put(scopedKey, new ReservationState(offset, appendedAtMillis, reservation, null));
+            scopedKeys.put(reservation.reservationId(), scopedKey);
             return ReservationDecision.Won.INSTANCE;
         }
         if (winner.reservation().reservationId().equals(reservation.reservationId())) {
             return ReservationDecision.Won.INSTANCE;
         }
-        return verdictAgainst(winner, reservation.bodyDigest());
+        return decideAgainst(winner, reservation.bodyDigest());
     }
 
-    /**
-     * Applies an outcome that was read from the log.
-     *
-     * @param outcome The outcome.
-     */
+    /** Applies an outcome that was read from the log. */
     public void record(ReservationOutcome outcome) {
-        Name name = names.get(outcome.reservationId());
-        if (name == null) {
+        ScopedKey scopedKey = scopedKeys.get(outcome.reservationId());
+        if (scopedKey == null) {
             return;
         }
         if (outcome.disposition() == Disposition.NOT_RUN) {
-            freeUnanswered(name, outcome.reservationId());
+            freeUnanswered(scopedKey, outcome.reservationId());
             return;
         }
-        winners.computeIfPresent(name, (key, state) -> state.withOutcome(outcome));
+        winners.computeIfPresent(scopedKey, (key, state) -> state.withOutcome(outcome));
     }
 
     /**
-     * Frees the key of a reservation for an operator; void while the call runs or may still be on its way to the backend
-     * server, since it could then run twice.
+     * Frees the key of a reservation on behalf of an operator. Has no effect while the call is running or may still be
+     * in transit to the backend server, because it could then run twice.
      *
-     * @param logTimeMillis The time of the log in milliseconds of the epoch.
-     * @param reservationId The identifier of the reservation.
-     * @return Whether the key is free.
+     * @param logTimeMillis The time of the log in milliseconds since the epoch.
+     * @return {@code true} if the key was freed.
      */
     public boolean release(long logTimeMillis, String reservationId) {
-        Name name = names.get(reservationId);
-        ReservationState state = name == null ? null : winners.get(name);
+        ScopedKey scopedKey = scopedKeys.get(reservationId);
+        ReservationState state = scopedKey == null ? null : winners.get(scopedKey);
         if (state == null
                 || state.outcome() == null
-                || logTimeMillis - state.appendedAtMillis() < LONGEST_CALL_MILLIS) {
+                || logTimeMillis - state.appendedAtMillis() < MAXIMUM_CALL_MILLIS) {
             return false;
         }
         forget(reservationId);
         return true;
     }
 
-    /**
-     * Marks running calls of a gateway that is gone as unknown.
-     *
-     * @param gateway The incarnation of the gateway.
-     */
+    /** Sets the outcome of the running calls of a departed gateway to unknown. */
     public void gatewayLeft(String gateway) {
-        for (Name name : names.values()) {
-            winners.computeIfPresent(name, (key, state) -> endedWith(gateway, state));
+        for (ScopedKey scopedKey : scopedKeys.values()) {
+            winners.computeIfPresent(scopedKey, (key, state) -> markAbandoned(gateway, state));
         }
     }
 
     /**
-     * Forgets reservations that are older than the retention, by the times at which the log took them.
+     * Removes reservations that are older than the retention, by the times at which the log accepted them.
      *
-     * @param logTimeMillis The time of the newest log entry in milliseconds of the epoch.
-     * @param retentionMillis The retention in milliseconds.
+     * @param logTimeMillis The time of the newest log entry in milliseconds since the epoch.
      */
     public void expire(long logTimeMillis, long retentionMillis) {
-        Iterator<Name> oldest = names.values().iterator();
+        Iterator<ScopedKey> oldest = scopedKeys.values().iterator();
         while (oldest.hasNext()) {
-            Name name = oldest.next();
-            if (winners.get(name).appendedAtMillis() + retentionMillis >= logTimeMillis) {
+            ScopedKey scopedKey = oldest.next();
+            if (winners.get(scopedKey).appendedAtMillis() + retentionMillis >= logTimeMillis) {
                 return;
             }
             oldest.remove();
-            winners.remove(name);
+            winners.remove(scopedKey);
         }
     }
 
-    /**
-     * Returns the remembered reservations in the order in which they were reserved.
-     *
-     * @return The reservations.
-     */
+    /** Returns the current reservations in the order of reservation. */
     public List<ReservationState> export() {
-        return names.values().stream().map(winners::get).toList();
+        return scopedKeys.values().stream().map(winners::get).toList();
     }
 
     /**
      * Replaces all reservations.
      *
-     * @param states The reservations in the order in which they were reserved.
+     * @param states The reservations in the order of reservation.
      */
     public void restore(List<ReservationState> states) {
-        names.clear();
+        scopedKeys.clear();
         winners.clear();
         for (ReservationState state : states) {
-            Name name = Name.of(state.reservation());
-            names.put(state.reservation().reservationId(), name);
-            winners.put(name, state);
+            ScopedKey scopedKey = ScopedKey.of(state.reservation());
+            scopedKeys.put(state.reservation().reservationId(), scopedKey);
+            winners.put(scopedKey, state);
         }
     }
 
     /**
-     * Looks up what is known of a key before anything is written.
+     * Looks up a key before a reservation is written.
      *
-     * @param customer The name of the customer.
      * @param route The path prefix of the route.
      * @param key The digest of the idempotency key.
      * @param bodyDigest The digest of the method, path and body.
-     * @return The verdict, or nothing if the key is free as far as this reader knows.
+     * @return The decision, or empty if the key is free as far as this reader knows.
      */
     public Optional<ReservationDecision> lookup(String customer, String route, String key, String bodyDigest) {
-        return Optional.ofNullable(winners.get(new Name(customer, route, key)))
-                .map(winner -> verdictAgainst(winner, bodyDigest));
+        return Optional.ofNullable(winners.get(new ScopedKey(customer, route, key)))
+                .map(winner -> decideAgainst(winner, bodyDigest));
     }
 
     /**
      * Returns the reservation that holds a key.
      *
-     * @param customer The name of the customer.
      * @param route The path prefix of the route.
      * @param key The digest of the idempotency key.
-     * @return The identifier of the reservation, or nothing if the key is free as far as this reader knows.
+     * @return The identifier of the reservation, or empty if the key is free as far as this reader knows.
      */
     public Optional<String> winner(String customer, String route, String key) {
-        return Optional.ofNullable(winners.get(new Name(customer, route, key)))
+        return Optional.ofNullable(winners.get(new ScopedKey(customer, route, key)))
                 .map(winner -> winner.reservation().reservationId());
     }
 
-    /**
-     * Returns the number of remembered reservations.
-     *
-     * @return The number.
-     */
+    /** Returns the number of current reservations. */
     public int size() {
         return winners.size();
     }
 
-    /**
-     * Frees a key whose call was not run, unless an answer shows that it was.
-     *
-     * @param name The key.
-     * @param reservationId The identifier of the reservation.
-     */
-    private void freeUnanswered(Name name, String reservationId) {
-        ReservationOutcome known = winners.get(name).outcome();
+    /** Frees a key whose call was not run, unless a recorded answer shows that it was. */
+    private void freeUnanswered(ScopedKey scopedKey, String reservationId) {
+        ReservationOutcome known = winners.get(scopedKey).outcome();
         if (known == null || known.disposition() != Disposition.ANSWERED) {
             forget(reservationId);
         }
     }
 
-    /**
-     * Forgets a reservation.
-     *
-     * @param reservationId The identifier of the reservation.
-     */
     private void forget(String reservationId) {
-        winners.remove(names.remove(reservationId));
+        winners.remove(scopedKeys.remove(reservationId));
     }
 
     /**
-     * Ends a running call of a gateway that is gone.
+     * Sets the outcome of a call to unknown if it is running at a departed gateway.
      *
-     * @param gateway The incarnation of the gateway.
-     * @param state The call.
-     * @return The call after it.
+     * @return The call after the change.
      */
-    private static ReservationState endedWith(String gateway, ReservationState state) {
+    private static ReservationState markAbandoned(String gateway, ReservationState state) {
         if (state.outcome() != null || !state.reservation().gateway().equals(gateway)) {
             return state;
         }
@@ -218,13 +186,11 @@
     }
 
     /**
-     * Judges a later call against the winner of its key.
+     * Decides on a later call with a key that is already reserved.
      *
-     * @param winner The winner.
      * @param bodyDigest The digest of the later call.
-     * @return The verdict.
      */
-    private static ReservationDecision verdictAgainst(ReservationState winner, String bodyDigest) {
+    private static ReservationDecision decideAgainst(ReservationState winner, String bodyDigest) {
         if (!winner.reservation().bodyDigest().equals(bodyDigest)) {
             return ReservationDecision.OtherBody.INSTANCE;
         }
@@ -238,22 +204,15 @@
     }
 
     /**
-     * What a key is unique within.
+     * The scope within which an idempotency key is unique.
      *
-     * @param customer The name of the customer.
      * @param route The path prefix of the route.
      * @param key The digest of the idempotency key.
      */
-    private record Name(String customer, String route, String key) {
+    private record ScopedKey(String customer, String route, String key) {
 
-        /**
-         * Returns the name of a reservation.
-         *
-         * @param reservation The reservation.
-         * @return The name.
-         */
-        private static Name of(Reservation reservation) {
-            return new Name(reservation.customer(), reservation.route(), reservation.key());
+        private static ScopedKey of(Reservation reservation) {
+            return new ScopedKey(reservation.customer(), reservation.route(), reservation.key());
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/reservation/package-info.java
@@ -1,2 +1,2 @@
-/** Calls that run at most once, decided by the order of reservations in the log. */
+/** Reservations of calls that run at most once, decided by the order of the log. */
 package org.cranberrygauge.decision.reservation;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/Snapshot.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/Snapshot.java
@@ -10,23 +10,18 @@
 import org.cranberrygauge.model.record.LogRecord.OrderIntent;
 
 /**
- * All that follows from the log up to an offset.
+ * The state derived from the log up to an offset.
  *
- * <p>Invariants: it is a function of the log's prefix only, so that it is right whoever wrote it, a former lease holder
- * included; a state restored from it goes on as one that applied the whole prefix. Immutable and safe for use by several
- * threads.
+ * <p>Invariants: a snapshot is a function of the log's prefix only, so it is correct whoever wrote it, including a
+ * former lease holder; a state restored from it behaves like one that applied the whole prefix. Immutable and
+ * thread-safe.
  *
- * @param offset The offset of the last entry that it holds.
- * @param logTimeMillis The time of the log at that entry in milliseconds of the epoch.
- * @param configuration The configuration.
- * @param lease The lease.
- * @param members The gateways.
- * @param drains The drains.
- * @param reservations The remembered reservations in the order in which they were reserved.
- * @param usage The usage.
- * @param writers How far the entries of each writer were applied, the one that was idle longest first.
- * @param openOrders The orders whose outcome is not in the log.
- * @param previous The newest whole snapshot before it.
+ * @param offset The offset of the last applied entry.
+ * @param logTimeMillis The log time at that entry in milliseconds since the epoch.
+ * @param reservations The current reservations in the order of reservation.
+ * @param writers The last applied position of each writer, least recently active first.
+ * @param openOrders The orders without a recorded outcome.
+ * @param previous The newest complete snapshot before this one.
  */
 public record Snapshot(
         long offset,
@@ -41,7 +36,6 @@
         List<OrderIntent> openOrders,
         SnapshotPosition previous) {
 
-    /** Copies the lists. */
     public Snapshot {
         members = List.copyOf(members);
         reservations = List.copyOf(reservations);
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotParts.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotParts.java
@@ -8,24 +8,21 @@
 import org.cranberrygauge.model.record.LogRecord.SnapshotPart;
 
 /**
- * Cuts the text of a snapshot into parts and puts them together again.
+ * Splits the text of a snapshot into parts, and reassembles it from them.
  *
- * <p>Invariants: parts of different snapshots are never mixed; a text is returned only once all its parts were taken.
- * Used by one thread.
+ * <p>Invariants: parts of different snapshots are never mixed; a text is returned only once all its parts were added.
+ * Not thread-safe; confined to one thread.
  */
 public final class SnapshotParts {
 
-    /** The parts taken so far by the identifier of their snapshot. */
-    private final Map<String, Map<Integer, SnapshotPart>> taken = new HashMap<>();
+    /** The parts added so far, by the identifier of their snapshot. */
+    private final Map<String, Map<Integer, SnapshotPart>> added = new HashMap<>();
 
     /**
-     * Cuts a text into parts.
+     * Splits a text into parts.
      *
-     * @param snapshotId The identifier of the snapshot.
-     * @param throughOffset The offset up to which it holds the log.
-     * @param text The text.
-     * @param characters The largest number of characters in a part.
-     * @return The parts.
+     * @param throughOffset The offset up to which the snapshot covers the log.
+     * @param characters The maximum number of characters in a part.
      */
     public static List<SnapshotPart> cut(String snapshotId, long throughOffset, String text, int characters) {
         int count = Math.max(1, (text.length() + characters - 1) / characters);
@@ -38,18 +35,17 @@
     }
 
     /**
-     * Takes a part that was read from the log.
+     * Adds a part that was read from the log.
      *
-     * @param part The part.
-     * @return The text of its snapshot if this was the last part that was missing.
+     * @return The text of the snapshot if this part completes it, otherwise empty.
      */
     public Optional<String> take(SnapshotPart part) {
-        Map<Integer, SnapshotPart> parts = taken.computeIfAbsent(part.snapshotId(), id -> new HashMap<>());
+        Map<Integer, SnapshotPart> parts = added.computeIfAbsent(part.snapshotId(), id -> new HashMap<>());
         parts.put(part.index(), part);
         if (parts.size() < part.count()) {
             return Optional.empty();
         }
-        taken.remove(part.snapshotId());
+        added.remove(part.snapshotId());
         StringBuilder text = new StringBuilder();
         for (int index = 0; index < part.count(); index++) {
             text.append(parts.get(index).text());
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotPosition.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotPosition.java
@@ -1,21 +1,16 @@
 package org.cranberrygauge.decision.snapshot;
 
 /**
- * Where the newest whole snapshot stands.
+ * The position of the newest complete snapshot in the log.
  *
- * @param throughOffset The offset up to which it holds the log; 0 for none.
- * @param appendedAtMillis The time of the log at its last part in milliseconds of the epoch.
+ * @param throughOffset The offset up to which the snapshot covers the log; 0 for none.
+ * @param appendedAtMillis The log time at its last part in milliseconds since the epoch.
  */
 public record SnapshotPosition(long throughOffset, long appendedAtMillis) {
 
-    /** No snapshot. */
     private static final SnapshotPosition NONE = new SnapshotPosition(0, 0);
 
-    /**
-     * Returns the mark of no snapshot.
-     *
-     * @return The mark.
-     */
+    /** Returns the position that stands for no snapshot. */
     public static SnapshotPosition none() {
         return NONE;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotSchedule.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotSchedule.java
@@ -4,22 +4,21 @@
 public interface SnapshotSchedule {
 
     /**
-     * Decides whether a snapshot is due, by the time of the log, so that a new holder goes on where the last one stopped.
+     * Returns whether a snapshot is due. The decision uses the time of the log, so that a new holder continues the
+     * schedule of the last one.
      *
-     * @param logTimeMillis The time of the newest entry in milliseconds of the epoch.
+     * @param logTimeMillis The time of the newest entry in milliseconds since the epoch.
      * @param offset The offset of the newest entry.
-     * @param newest The newest whole snapshot.
-     * @return Whether a snapshot is due.
      */
     boolean isDue(long logTimeMillis, long offset, SnapshotPosition newest);
 
     /**
-     * Writes a snapshot each time the log has grown for an interval.
+     * Writes a snapshot at a fixed interval while the log grows.
      *
-     * <p>Immutable and safe for use by several threads.
+     * <p>Immutable and thread-safe.
      *
-     * @param intervalMillis The time between two snapshots in milliseconds; a quarter of the log's retention leaves three
-     *     tries before a reader finds none.
+     * @param intervalMillis The time between two snapshots in milliseconds. A quarter of the log's retention allows
+     *     three attempts before a reader would find no snapshot.
      */
     record Periodic(long intervalMillis) implements SnapshotSchedule {
 
@@ -29,9 +28,8 @@
         }
     }
 
-    /** Never writes a snapshot, which is the baseline without protection. */
+    /** Never writes a snapshot. A baseline without protection. */
     enum Disabled implements SnapshotSchedule {
-        /** The only instance. */
         INSTANCE;
 
         @Override
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/WriterPosition.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/WriterPosition.java
@@ -1,10 +1,9 @@
 package org.cranberrygauge.decision.snapshot;
 
 /**
- * How far the entries of one writer were applied.
+ * The last applied position of one writer.
  *
- * @param writer The incarnation of the writer.
- * @param sequence The highest sequence number applied.
- * @param appendedAtMillis The time of the log at that entry in milliseconds of the epoch.
+ * @param sequence The highest applied sequence number.
+ * @param appendedAtMillis The log time at that entry in milliseconds since the epoch.
  */
 public record WriterPosition(String writer, long sequence, long appendedAtMillis) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/package-info.java
@@ -1,2 +1,2 @@
-/** Snapshots of what follows from the log, so that a reader needs no entry older than the log keeps. */
+/** Snapshots of the state derived from the log, so that a reader needs no entry older than the log's retention. */
 package org.cranberrygauge.decision.snapshot;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/LogState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/LogState.java
@@ -20,57 +20,49 @@
 import org.cranberrygauge.model.record.LogRecord;
 
 /**
- * All state machines that follow the log.
+ * The state machines that are driven by the log.
  *
- * <p>Invariants: entries are applied in the order of their offsets, each once; a copy of an entry, recognised by writer
- * and sequence, has no effect; the same prefix gives the same state. One thread applies; the reservations may be read by
- * any thread, and the immutable parts are published by the caller.
+ * <p>Invariants: entries are applied in the order of their offsets, each once; a duplicate of an entry, recognized by
+ * writer and sequence number, has no effect; the same prefix gives the same state. One thread applies entries. Any
+ * thread may read the reservations; the immutable parts are published by the caller.
  */
 public final class LogState {
 
-    /** The time after which no copy of an entry can still arrive in milliseconds. */
-    private static final long LONGEST_DELAY_MILLIS = 3_600_000;
+    /** The time after which no duplicate of an entry can still arrive, in milliseconds. */
+    private static final long MAXIMUM_DUPLICATE_DELAY_MILLIS = 3_600_000;
 
-    /** The offset of the last applied entry. */
+    /** The offset of the last applied entry; 0 before any. */
     private long offset;
 
-    /** The time of the log at the last applied entry in milliseconds of the epoch; it never falls. */
+    /** The log time at the last applied entry, in milliseconds since the epoch; never decreases. */
     private long logTimeMillis;
 
-    /** How far the entries of each writer were applied, the one that was idle longest first. */
+    /** The last applied position of each writer, least recently active first. */
     private final Map<String, WriterPosition> writers = new LinkedHashMap<>();
 
-    /** The configuration. */
     private ConfigurationState configuration = ConfigurationState.initial();
 
-    /** The lease. */
     private LeaseState lease = LeaseState.initial();
 
-    /** The gateways. */
     private Membership members = Membership.initial();
 
-    /** The drains. */
     private DrainState drains = DrainState.initial();
 
-    /** The reserved calls. */
     private final Reservations reservations = new Reservations();
 
-    /** The usage. */
     private final UsageLedger usage = new UsageLedger();
 
-    /** The orders whose outcome is not in the log, by identifier. */
+    /** The orders without a recorded outcome, by identifier. */
     private final Map<String, LogRecord.OrderIntent> openOrders = new HashMap<>();
 
-    /** The newest whole snapshot in the log. */
+    /** The newest complete snapshot in the log. */
     private SnapshotPosition snapshot = SnapshotPosition.none();
 
     /**
      * Applies an entry.
      *
-     * @param entryOffset The offset of the entry.
-     * @param appendedAtMillis The time of the append as stated by the log in milliseconds of the epoch.
-     * @param entry The entry.
-     * @return What became of records that somebody may wait for.
+     * @param appendedAtMillis The time of the append as stated by the log, in milliseconds since the epoch.
+     * @return The results of the records that a process may be waiting for.
      */
     public List<ApplyResult> apply(long entryOffset, long appendedAtMillis, LogEntry entry) {
         if (entryOffset <= offset) {
@@ -78,34 +70,26 @@
         }
         offset = entryOffset;
         logTimeMillis = Math.max(logTimeMillis, appendedAtMillis);
-        forgetOld();
-        WriterPosition seen = writers.get(entry.writer());
-        if (seen != null && entry.sequence() <= seen.sequence()) {
+        expireOldState();
+        WriterPosition lastApplied = writers.get(entry.writer());
+        if (lastApplied != null && entry.sequence() <= lastApplied.sequence()) {
             return List.of();
         }
         writers.remove(entry.writer());
         writers.put(entry.writer(), new WriterPosition(entry.writer(), entry.sequence(), logTimeMillis));
-        List<ApplyResult> effects = new ArrayList<>();
+        List<ApplyResult> results = new ArrayList<>();
         for (LogRecord record : entry.records()) {
-            apply(record, effects);
+            apply(record, results);
         }
-        return effects;
+        return results;
     }
 
-    /**
-     * Passes over an entry that no reader can read.
-     *
-     * @param entryOffset The offset of the entry.
-     */
+    /** Skips an entry that cannot be decoded. */
     public void skip(long entryOffset) {
         offset = Math.max(offset, entryOffset);
     }
 
-    /**
-     * Returns all that follows from the log up to the last applied entry.
-     *
-     * @return The snapshot.
-     */
+    /** Returns a snapshot of the state after the last applied entry. */
     public Snapshot export() {
         return new Snapshot(
                 offset,
@@ -122,10 +106,9 @@
     }
 
     /**
-     * Goes on from a snapshot, unless more of the log was applied already.
+     * Continues from a snapshot, unless more of the log was already applied.
      *
-     * @param from The snapshot.
-     * @return Whether the state is that of the snapshot.
+     * @return {@code true} if the snapshot was restored.
      */
     public boolean restore(Snapshot from) {
         if (from.offset() <= offset) {
@@ -147,13 +130,13 @@
         return true;
     }
 
-    /** Forgets what is older than any copy can be late, by the time of the log. */
-    private void forgetOld() {
+    /** Removes state that is older than the longest delay of a duplicate, by the time of the log. */
+    private void expireOldState() {
         long retentionMillis = configuration.current().configuration().times().reservationRetentionMillis();
         reservations.expire(logTimeMillis, retentionMillis);
-        usage.forget(logTimeMillis - Math.max(retentionMillis, LONGEST_DELAY_MILLIS), members);
+        usage.forget(logTimeMillis - Math.max(retentionMillis, MAXIMUM_DUPLICATE_DELAY_MILLIS), members);
         Iterator<WriterPosition> idle = writers.values().iterator();
-        while (idle.hasNext() && idle.next().appendedAtMillis() + LONGEST_DELAY_MILLIS < logTimeMillis) {
+        while (idle.hasNext() && idle.next().appendedAtMillis() + MAXIMUM_DUPLICATE_DELAY_MILLIS < logTimeMillis) {
             idle.remove();
         }
     }
@@ -161,42 +144,37 @@
     /**
      * Applies one record.
      *
-     * @param record The record.
-     * @param effects Takes what became of it.
+     * @param results Collects the results.
      */
-    private void apply(LogRecord record, List<ApplyResult> effects) {
+    private void apply(LogRecord record, List<ApplyResult> results) {
         if (record instanceof LogRecord.ConfigurationChange change) {
             ConfigurationState.Result result = configuration.apply(offset, change);
-            configuration = result.machine();
-            effects.add(new ApplyResult.ChangeResult(change.changeId(), change.operator(), offset, result.verdict()));
+            configuration = result.state();
+            results.add(new ApplyResult.ChangeResult(change.changeId(), change.operator(), offset, result.verdict()));
         } else if (record instanceof LogRecord.LeaseClaim claim) {
             lease = lease.apply(offset, claim);
         } else if (record instanceof LogRecord.LeaseRelease release) {
             lease = lease.apply(release);
         } else if (record instanceof LogRecord.Reservation reservation) {
             ReservationDecision verdict = reservations.reserve(offset, logTimeMillis, reservation);
-            effects.add(new ApplyResult.ReservationResult(reservation.reservationId(), verdict));
+            results.add(new ApplyResult.ReservationResult(reservation.reservationId(), verdict));
         } else if (record instanceof LogRecord.ReservationOutcome outcome) {
             reservations.record(outcome);
         } else if (record instanceof LogRecord.ReservationRelease release) {
             boolean freed = reservations.release(logTimeMillis, release.reservationId());
-            effects.add(new ApplyResult.ReleaseResult(release.reservationId(), release.operator(), freed));
+            results.add(new ApplyResult.ReleaseResult(release.reservationId(), release.operator(), freed));
         } else if (record instanceof LogRecord.OrderIntent intent) {
             boolean valid = intent.fencingNumber() == lease.fencingNumber() && !lease.released();
             if (valid) {
                 openOrders.put(intent.orderId(), intent);
             }
-            effects.add(new ApplyResult.IntentResult(intent, valid));
+            results.add(new ApplyResult.IntentResult(intent, valid));
         } else {
             applyControl(record);
         }
     }
 
-    /**
-     * Applies a record of membership, orders, usage or drains.
-     *
-     * @param record The record.
-     */
+    /** Applies a record of membership, orders, usage, drains or snapshots. */
     private void applyControl(LogRecord record) {
         if (record instanceof LogRecord.GatewayJoined joined) {
             members.onHost(joined.host())
@@ -232,83 +210,45 @@
         return offset;
     }
 
-    /**
-     * Returns the configuration.
-     *
-     * @return The state machine.
-     */
     public ConfigurationState configuration() {
         return configuration;
     }
 
-    /**
-     * Returns the lease.
-     *
-     * @return The lease.
-     */
     public LeaseState lease() {
         return lease;
     }
 
-    /**
-     * Returns the gateways.
-     *
-     * @return The members.
-     */
     public Membership members() {
         return members;
     }
 
-    /**
-     * Returns the drains.
-     *
-     * @return The drains.
-     */
     public DrainState drains() {
         return drains;
     }
 
-    /**
-     * Returns the reserved calls.
-     *
-     * @return The reservations.
-     */
     public Reservations reservations() {
         return reservations;
     }
 
-    /**
-     * Returns the usage.
-     *
-     * @return The usage.
-     */
     public UsageLedger usage() {
         return usage;
     }
 
-    /**
-     * Returns the orders whose outcome is not in the log.
-     *
-     * @return The intents by identifier.
-     */
+    /** Returns the orders without a recorded outcome, by identifier. */
     public Map<String, LogRecord.OrderIntent> openOrders() {
         return Map.copyOf(openOrders);
     }
 
     /**
-     * Returns the time of the log at the last applied entry.
+     * Returns the log time at the last applied entry.
      *
-     * @return The time in milliseconds of the epoch.
+     * @return The time in milliseconds since the epoch.
      */
     public long logTimeMillis() {
         return logTimeMillis;
     }
 
-    /**
-     * Returns the newest whole snapshot in the log.
-     *
-     * @return The mark.
-     */
+    /** Returns the position of the newest complete snapshot in the log. */
     public SnapshotPosition snapshot() {
         return snapshot;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/package-info.java
@@ -1,2 +1,2 @@
-/** All state machines that follow the log, advanced entry by entry. */
+/** The replicated state machines, which are advanced entry by entry from the log. */
 package org.cranberrygauge.decision.state;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageCopies.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageCopies.java
@@ -11,63 +11,57 @@
 import org.cranberrygauge.model.record.UsageKey;
 
 /**
- * The copies of usage that this process holds for other gateways.
+ * The copies of unlogged usage that this process holds for other gateways.
  *
- * <p>Invariants: figures of a copy never fall; a copy is dropped once the log has its figures; a copy is due for the log
- * when its gateway left, was replaced, or is silent, and stays due until the log has it; the number of keys is bounded.
- * Appending a copy is harmless at any time, since its figures are cumulative. Safe for use by several threads.
+ * <p>Invariants: the figures of a copy never decrease; a copy is dropped once its figures are in the log; a copy is due
+ * to be appended when its gateway left, was replaced or is silent, and stays due until it is in the log; the number of
+ * keys is bounded. A copy may be appended at any time, because its figures are cumulative. Thread-safe.
  */
 public final class UsageCopies {
 
-    /** The highest number of keys that are held. */
+    /** The maximum number of keys over all copies. */
     private final int keyLimit;
 
-    /** The time without a report after which a gateway counts as silent in milliseconds. */
+    /** The time without a report after which a gateway counts as silent, in milliseconds. */
     private final long silenceMillis;
 
-    /** The held copies by gateway incarnation. */
-    private final Map<String, Held> byGateway = new HashMap<>();
+    /** The copies by gateway incarnation. */
+    private final Map<String, HeldCopy> byGateway = new HashMap<>();
 
     /**
      * Creates an empty store.
      *
-     * @param keyLimit The highest number of keys that are held.
-     * @param silenceMillis The time without a report after which a gateway counts as silent in milliseconds.
+     * @param keyLimit The maximum number of keys over all copies.
+     * @param silenceMillis The time without a report after which a gateway counts as silent, in milliseconds.
      */
     public UsageCopies(int keyLimit, long silenceMillis) {
         this.keyLimit = keyLimit;
         this.silenceMillis = silenceMillis;
     }
 
-    /**
-     * Notes that a gateway reported.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param gateway The incarnation of the gateway.
-     */
+    /** Records a report of a gateway. */
     public synchronized void heard(long nowMillis, String gateway) {
-        Held held = byGateway.get(gateway);
+        HeldCopy held = byGateway.get(gateway);
         if (held != null) {
             held.heardAtMillis = nowMillis;
         }
     }
 
     /**
-     * Takes a copy in.
+     * Stores or updates a copy.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param copy The copy.
-     * @return Whether it is held; otherwise the store is full, and the sender must not count on it.
+     * @return {@code true} if the copy is held; {@code false} if the store is full and the sender must find another
+     *     holder.
      */
     public synchronized boolean hold(long nowMillis, UsageDelta copy) {
-        Held held = byGateway.get(copy.gateway());
+        HeldCopy held = byGateway.get(copy.gateway());
         long added = copy.totals().keySet().stream()
                 .filter(key -> held == null || !held.totals.containsKey(key))
                 .count();
         if (keys() + added > keyLimit) {
             return false;
         }
-        Held target = byGateway.computeIfAbsent(copy.gateway(), name -> new Held());
+        HeldCopy target = byGateway.computeIfAbsent(copy.gateway(), name -> new HeldCopy());
         target.heardAtMillis = nowMillis;
         target.sequence = Math.max(target.sequence, copy.sequence());
         copy.totals().forEach((key, figures) -> target.totals.merge(key, figures, UsageFigures::maximum));
@@ -75,19 +69,18 @@
     }
 
     /**
-     * Drops what the log has, and takes what is due to be appended to it.
+     * Drops the figures that are in the log and returns the copies that are due to be appended to it.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param ledger The usage that stands in the log.
-     * @param members The incarnations that joined and did not leave, as they stand in the log.
+     * @param ledger The usage recorded in the log.
+     * @param members The incarnations that have joined and not left, as recorded in the log.
      * @return The copies to append.
      */
     public synchronized List<UsageDelta> due(long nowMillis, UsageLedger ledger, Set<String> members) {
         List<UsageDelta> due = new ArrayList<>();
-        Iterator<Map.Entry<String, Held>> iterator = byGateway.entrySet().iterator();
+        Iterator<Map.Entry<String, HeldCopy>> iterator = byGateway.entrySet().iterator();
         while (iterator.hasNext()) {
-            Map.Entry<String, Held> entry = iterator.next();
-            Held held = entry.getValue();
+            Map.Entry<String, HeldCopy> entry = iterator.next();
+            HeldCopy held = entry.getValue();
             held.totals.entrySet().removeIf(line -> ledger.covers(entry.getKey(), line.getKey(), line.getValue()));
             if (held.totals.isEmpty()) {
                 iterator.remove();
@@ -101,20 +94,12 @@
         return due;
     }
 
-    /**
-     * Returns the number of keys that are held.
-     *
-     * @return The number.
-     */
+    /** Returns the number of keys over all copies. */
     public synchronized int keys() {
         return byGateway.values().stream().mapToInt(held -> held.totals.size()).sum();
     }
 
-    /**
-     * Returns the calls in the copies, those since the start of each gateway.
-     *
-     * @return The number.
-     */
+    /** Returns the number of calls in the copies, counted since the start of each gateway. */
     public synchronized long calls() {
         return byGateway.values().stream()
                 .flatMap(held -> held.totals.values().stream())
@@ -122,16 +107,16 @@
                 .sum();
     }
 
-    /** The copy of one gateway; guarded by the store. */
-    private static final class Held {
+    /** The copy of one gateway; guarded by the enclosing instance. */
+    private static final class HeldCopy {
 
-        /** The cumulative figures. */
+        /** The cumulative usage. */
         private final Map<UsageKey, UsageFigures> totals = new HashMap<>();
 
-        /** The monotonic time of the last report. */
+        /** The monotonic time of the last report in milliseconds. */
         private long heardAtMillis;
 
-        /** The highest sequence number of a copy. */
+        /** The highest sequence number of the merged copies. */
         private long sequence;
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageCounter.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageCounter.java
@@ -11,13 +11,12 @@
 /**
  * Counts the usage of one gateway incarnation.
  *
- * <p>Invariants: the totals never fall; each delta carries the totals since the start, so that a lost or repeated delta is
- * healed by the next; what is counted while a delta is taken is in this delta or makes the next one due. Any thread counts;
- * one thread takes deltas and confirms them.
+ * <p>Invariants: totals never decrease; each delta carries totals since the start, so the next delta makes up for a
+ * lost or repeated one; usage counted while a delta is being taken is either in that delta or makes the next one due.
+ * Any thread may count; one thread takes and confirms deltas.
  */
 public final class UsageCounter {
 
-    /** The incarnation of the gateway. */
     private final String gateway;
 
     /** The totals since the start. */
@@ -26,88 +25,58 @@
     /** The number of changes since the start. */
     private final AtomicLong changes = new AtomicLong();
 
-    /** The number of changes that the last delta covers. */
-    private volatile long coveredChanges;
+    /** The number of changes covered by the last delta, or -1 if it must be repeated. */
+    private volatile long deltaChanges;
 
-    /** The totals that stand in the log, replaced whole. */
-    private volatile Map<UsageKey, UsageFigures> covered = Map.of();
+    /** The totals known to be in the log; replaced as a whole. */
+    private volatile Map<UsageKey, UsageFigures> logged = Map.of();
 
     /** The sequence number of the last delta. */
     private long sequence;
 
-    /**
-     * Creates a counter.
-     *
-     * @param gateway The incarnation of the gateway.
-     */
     public UsageCounter(String gateway) {
         this.gateway = gateway;
     }
 
-    /**
-     * Counts usage.
-     *
-     * @param key What it is counted by.
-     * @param figures The usage.
-     */
+    /** Adds usage to the totals of a customer and class. */
     public void count(UsageKey key, UsageFigures figures) {
         totals.merge(key, figures, UsageFigures::plus);
         changes.incrementAndGet();
     }
 
-    /**
-     * Tells whether anything was counted since the last delta.
-     *
-     * @return Whether a delta is due.
-     */
+    /** Returns whether usage was counted since the last delta, so that a new one is due. */
     public boolean isDirty() {
-        return changes.get() != coveredChanges;
+        return changes.get() != deltaChanges;
     }
 
-    /**
-     * Takes the next delta, which holds the totals of each key that changed since the last one that was confirmed.
-     *
-     * @return The delta.
-     */
+    /** Takes the next delta, which holds the totals of each key that changed since the last confirmed delta. */
     public UsageDelta next() {
-        coveredChanges = changes.get();
+        deltaChanges = changes.get();
         sequence++;
         return new UsageDelta(gateway, sequence, unconfirmed());
     }
 
-    /**
-     * Returns the totals of each key that are not known to stand in the log.
-     *
-     * @return The totals.
-     */
+    /** Returns the totals of each key that are not known to be in the log. */
     public Map<UsageKey, UsageFigures> unconfirmed() {
-        Map<UsageKey, UsageFigures> confirmed = covered;
+        Map<UsageKey, UsageFigures> alreadyLogged = logged;
         Map<UsageKey, UsageFigures> changed = new HashMap<>(Map.copyOf(totals));
-        changed.entrySet().removeIf(entry -> entry.getValue().equals(confirmed.get(entry.getKey())));
+        changed.entrySet().removeIf(entry -> entry.getValue().equals(alreadyLogged.get(entry.getKey())));
         return changed;
     }
 
-    /**
-     * Notes that a delta stands in the log.
-     *
-     * @param delta The delta.
-     */
+    /** Records that a delta is in the log. */
     public void confirm(UsageDelta delta) {
-        Map<UsageKey, UsageFigures> merged = new HashMap<>(covered);
+        Map<UsageKey, UsageFigures> merged = new HashMap<>(logged);
         delta.totals().forEach((key, figures) -> merged.merge(key, figures, UsageFigures::maximum));
-        covered = Map.copyOf(merged);
+        logged = Map.copyOf(merged);
     }
 
-    /** Notes that a delta may not stand in the log, so that the next one is due at once. */
+    /** Records that the append of a delta may have failed, so that the next delta is due at once. */
     public void fail() {
-        coveredChanges = -1;
+        deltaChanges = -1;
     }
 
-    /**
-     * Returns the totals since the start.
-     *
-     * @return The totals.
-     */
+    /** Returns the totals since the start. */
     public Map<UsageKey, UsageFigures> totals() {
         return Map.copyOf(totals);
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageLedger.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageLedger.java
@@ -15,15 +15,15 @@
 import org.cranberrygauge.model.record.UsageKey;
 
 /**
- * The usage that stands in the log, and its windows.
+ * The usage recorded in the log, divided into windows.
  *
- * <p>Invariants: the figures of a window are a pure function of the log's prefix up to its close, so that any holder of
- * the lease reports the same; a close is valid only if it carries the fencing number in force and the next window number;
- * what comes late falls into a later window. Used by one thread.
+ * <p>Invariants: the usage of a window is a pure function of the log's prefix up to its close, so any holder of the
+ * lease reports the same; a close is valid only if it carries the fencing number in force and the next window number;
+ * late usage falls into a later window. Not thread-safe; confined to one thread.
  */
 public final class UsageLedger {
 
-    /** The cumulative totals by gateway incarnation, the one that was silent longest first. */
+    /** The cumulative totals by gateway incarnation, least recently reported first. */
     private final Map<String, GatewayTotals> totals = new LinkedHashMap<>();
 
     /** The usage since the last close. */
@@ -32,14 +32,13 @@
     /** The closed windows that the platform has not acknowledged, by number. */
     private final TreeMap<Long, Map<UsageKey, UsageFigures>> unreported = new TreeMap<>();
 
-    /** The number of the last closed window. */
+    /** The number of the last closed window; 0 for none. */
     private long lastClosed;
 
     /**
      * Applies a delta that was read from the log.
      *
-     * @param logTimeMillis The time of the log in milliseconds of the epoch.
-     * @param delta The delta.
+     * @param logTimeMillis The time of the log in milliseconds since the epoch.
      */
     public void apply(long logTimeMillis, UsageDelta delta) {
         GatewayTotals known = totals.remove(delta.gateway());
@@ -56,11 +55,10 @@
     }
 
     /**
-     * Forgets the totals of incarnations that are gone and were silent for long; a delta of such an incarnation would be
-     * counted again as a whole, so the time must be longer than any append can be late.
+     * Removes the totals of incarnations that are gone and long silent. A later delta of such an incarnation would be
+     * counted again in full, so the time must exceed the longest delay of an append.
      *
-     * @param beforeMillis The time of the log before which the last delta was, in milliseconds of the epoch.
-     * @param members The gateways.
+     * @param beforeMillis The log time before which the last delta must be, in milliseconds since the epoch.
      */
     public void forget(long beforeMillis, Membership members) {
         Iterator<GatewayTotals> silent = totals.values().iterator();
@@ -76,12 +74,10 @@
     }
 
     /**
-     * Tells whether the log has the figures of a key, or greater ones.
+     * Returns whether the log has the given figures of a key, or greater ones, so that a delta with them would change
+     * nothing.
      *
-     * @param gateway The incarnation of the gateway that counted.
-     * @param key The key.
      * @param figures The cumulative figures.
-     * @return Whether a delta with these figures would change nothing.
      */
     public boolean covers(String gateway, UsageKey key, UsageFigures figures) {
         GatewayTotals known = totals.get(gateway);
@@ -90,11 +86,10 @@
     }
 
     /**
-     * Applies a close that was read from the log.
+     * Applies a window close that was read from the log.
      *
-     * @param close The close.
-     * @param fencingNumber The fencing number in force at that place of the log.
-     * @return Whether the close is valid.
+     * @param fencingNumber The fencing number in force at this position of the log.
+     * @return {@code true} if the close is valid.
      */
     public boolean apply(WindowClose close, long fencingNumber) {
         if (close.windowId() != lastClosed + 1 || close.fencingNumber() != fencingNumber) {
@@ -106,11 +101,7 @@
         return true;
     }
 
-    /**
-     * Applies an acknowledgement that was read from the log.
-     *
-     * @param reported The acknowledgement.
-     */
+    /** Applies an acknowledgement of the platform that was read from the log. */
     public void apply(WindowReported reported) {
         unreported.remove(reported.windowId());
     }
@@ -118,7 +109,7 @@
     /**
      * Returns the oldest closed window that the platform has not acknowledged.
      *
-     * @return The window, or nothing.
+     * @return The window, or empty if all are acknowledged.
      */
     public Optional<ClosedWindow> nextToReport() {
         return Optional.ofNullable(unreported.firstEntry())
@@ -134,28 +125,19 @@
         return lastClosed;
     }
 
-    /**
-     * Returns the usage since the last close.
-     *
-     * @return The usage.
-     */
+    /** Returns the usage since the last close. */
     public Map<UsageKey, UsageFigures> open() {
         return Map.copyOf(open);
     }
 
     /**
-     * A closed window.
+     * A closed usage window.
      *
-     * @param windowId The number of the window.
      * @param figures The usage by customer and class.
      */
     public record ClosedWindow(long windowId, Map<UsageKey, UsageFigures> figures) {}
 
-    /**
-     * Returns all that the ledger knows.
-     *
-     * @return The totals.
-     */
+    /** Returns the whole state of the ledger. */
     public Totals export() {
         List<ClosedWindow> windows = unreported.entrySet().stream()
                 .map(entry -> new ClosedWindow(entry.getKey(), entry.getValue()))
@@ -163,11 +145,7 @@
         return new Totals(List.copyOf(totals.values()), open, windows, lastClosed);
     }
 
-    /**
-     * Replaces all that the ledger knows.
-     *
-     * @param known The totals.
-     */
+    /** Replaces the whole state of the ledger. */
     public void restore(Totals known) {
         totals.clear();
         known.gateways().forEach(gateway -> totals.put(gateway.gateway(), gateway));
@@ -181,25 +159,23 @@
     /**
      * The cumulative totals of one gateway incarnation.
      *
-     * @param gateway The incarnation.
-     * @param lastDeltaMillis The time of the log at its last delta in milliseconds of the epoch.
+     * @param lastDeltaMillis The log time of its last delta in milliseconds since the epoch.
      * @param figures The totals by customer and class.
      */
     public record GatewayTotals(String gateway, long lastDeltaMillis, Map<UsageKey, UsageFigures> figures) {
 
-        /** Copies the map. */
         public GatewayTotals {
             figures = Map.copyOf(figures);
         }
     }
 
     /**
-     * All that a ledger knows.
+     * The whole state of a ledger.
      *
-     * @param gateways The cumulative totals, the gateway that was silent longest first.
+     * @param gateways The cumulative totals, least recently reported first.
      * @param open The usage since the last close.
      * @param unreported The closed windows that the platform has not acknowledged.
-     * @param lastClosed The number of the last closed window.
+     * @param lastClosed The number of the last closed window; 0 for none.
      */
     public record Totals(
             List<GatewayTotals> gateways,
@@ -207,7 +183,6 @@
             List<ClosedWindow> unreported,
             long lastClosed) {
 
-        /** Copies the lists and the map. */
         public Totals {
             gateways = List.copyOf(gateways);
             open = Map.copyOf(open);
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageReplication.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageReplication.java
@@ -7,51 +7,43 @@
 import org.cranberrygauge.model.record.UsageFigures;
 import org.cranberrygauge.model.record.UsageKey;
 
-/** Decides which usage that is not yet in the log a peer is given a copy of. */
+/** Decides which usage that is not yet in the log is replicated to a peer. */
 public interface UsageReplication {
 
     /**
-     * Takes the copy that a peer shall get with the next exchange.
+     * Returns the copy to send to a peer with the next exchange.
      *
-     * @param peer The name of the peer.
-     * @return The copy, or nothing.
+     * @return The copy, or empty if there is nothing to send.
      */
     Optional<UsageDelta> next(String peer);
 
     /**
-     * Notes that a peer answered an exchange.
+     * Records that a peer answered an exchange.
      *
-     * @param peer The name of the peer.
-     * @param copy The copy that went with it, or nothing.
+     * @param copy The copy that was sent with it, or empty.
      */
     void answered(String peer, Optional<UsageDelta> copy);
 
-    /**
-     * Notes that a peer did not answer.
-     *
-     * @param peer The name of the peer.
-     */
+    /** Records that a peer did not answer an exchange. */
     void failed(String peer);
 
     /**
-     * Gives copies to one peer: the first that answers, until it fails to answer.
+     * Replicates to one peer: the first that answers, until it fails to answer.
      *
      * <p>Invariants: a copy carries cumulative figures, so that repeated and old copies are harmless; a figure is sent
-     * again until the peer acknowledged it or it stands in the log; a new peer gets all that is not in the log; a copy has
-     * a bounded number of keys, and the rest follows with the next exchange. Safe for use by several threads.
+     * until the peer acknowledged it or it is in the log; a new peer gets everything that is not in the log; a copy has
+     * a bounded number of keys, and the rest follows with the next exchange. Thread-safe.
      */
     final class ToOnePeer implements UsageReplication {
 
-        /** The incarnation of this gateway. */
         private final String gateway;
 
-        /** The counter. */
         private final UsageCounter counter;
 
-        /** The highest number of keys in a copy. */
+        /** The maximum number of keys in a copy. */
         private final int keyLimit;
 
-        /** The name of the peer that holds the copy, or null. */
+        /** The name of the peer that holds the copy, or {@code null}. */
         private String holder;
 
         /** The figures that the holder acknowledged. */
@@ -61,11 +53,9 @@
         private long sequence;
 
         /**
-         * Creates a replication.
+         * Creates a replication without a holder.
          *
-         * @param gateway The incarnation of this gateway.
-         * @param counter The counter.
-         * @param keyLimit The highest number of keys in a copy.
+         * @param keyLimit The maximum number of keys in a copy.
          */
         public ToOnePeer(String gateway, UsageCounter counter, int keyLimit) {
             this.gateway = gateway;
@@ -115,12 +105,11 @@
     }
 
     /**
-     * Gives no copies, which is the baseline without protection.
+     * Replicates nothing. A baseline without protection.
      *
-     * <p>Stateless and safe for use by several threads.
+     * <p>Stateless and thread-safe.
      */
     enum Disabled implements UsageReplication {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -130,12 +119,12 @@
 
         @Override
         public void answered(String peer, Optional<UsageDelta> copy) {
-            // No copy is ever sent.
+            // No copies are sent.
         }
 
         @Override
         public void failed(String peer) {
-            // No copy is ever sent.
+            // No copies are sent.
         }
     }
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageSignals.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageSignals.java
@@ -6,23 +6,22 @@
 import org.cranberrygauge.model.record.UsageKey;
 
 /**
- * The usage of a gateway since its start by class, as it stands in its report to controllers.
+ * Encodes the usage of a gateway since its start, by class, as signals in its reports to controllers.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  */
 public final class UsageSignals {
 
-    /** The beginning of the names of signals with output tokens. */
+    /** The prefix of the names of signals that hold output tokens. */
     private static final String TOKENS = "usage_tokens:";
 
-    /** The beginning of the names of signals with calls. */
+    /** The prefix of the names of signals that hold calls. */
     private static final String CALLS = "usage_calls:";
 
-    /** Prevents instances. */
     private UsageSignals() {}
 
     /**
-     * Writes signals.
+     * Encodes usage as signals.
      *
      * @param totals The totals by customer and class.
      * @return The signals by name.
@@ -36,24 +35,12 @@
         return signals;
     }
 
-    /**
-     * Reads the output tokens of a class.
-     *
-     * @param signals The signals by name.
-     * @param className The name of the class.
-     * @return The output tokens since the start.
-     */
+    /** Returns the output tokens of a class since the start of the gateway. */
     public static double outputTokens(Map<String, Double> signals, String className) {
         return signals.getOrDefault(TOKENS + className, 0.0);
     }
 
-    /**
-     * Reads the calls of a class.
-     *
-     * @param signals The signals by name.
-     * @param className The name of the class.
-     * @return The calls since the start.
-     */
+    /** Returns the calls of a class since the start of the gateway. */
     public static double calls(Map<String, Double> signals, String className) {
         return signals.getOrDefault(CALLS + className, 0.0);
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/package-info.java
@@ -1,2 +1,2 @@
-/** Counting usage, and the figures of usage windows as a function of the log's prefix. */
+/** Usage accounting: counters, replication, and usage windows as a function of the log's prefix. */
 package org.cranberrygauge.decision.usage;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/cleaning/CleaningPlannerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/cleaning/CleaningPlannerTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void a_replacement_is_asked_for_first_where_the_others_do_not_carry_the_work() {
+    void a_replacement_is_ordered_first_if_the_other_servers_cannot_carry_the_work() {
         inFlight.put("engine-2", 8);
         inFlight.put("engine-3", 8);
         assertThat(decide(OPEN_MILLIS).actions()).isEmpty();
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void a_server_that_is_not_yet_empty_goes_back_to_work_when_its_model_has_no_room_left() {
+    void a_server_that_is_not_yet_empty_returns_to_service_when_its_model_has_no_free_slot() {
         drain("engine-1");
         inFlight.putAll(Map.of("engine-1", 1, "engine-2", 8, "engine-3", 8));
         waiting = 4;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/reservation/ReservationsTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/reservation/ReservationsTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void an_operator_cannot_free_the_key_of_a_call_that_runs_or_may_still_be_on_its_way() {
+    void an_operator_cannot_free_the_key_of_a_call_that_is_running_or_may_still_be_in_transit() {
         reservations.reserve(1, 0, reservation("first", 0));
         assertThat(reservations.release(DAY_MILLIS, "first")).isFalse();
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void calls_that_were_not_run_leave_nothing_behind() {
+    void calls_that_were_not_run_leave_no_state() {
         for (int call = 0; call < 1_000; call++) {
             reservations.reserve(call + 1, 0, reservation("call-" + call, 0));
             reservations.record(outcome("call-" + call, Disposition.NOT_RUN));
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/snapshot/SnapshotTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/snapshot/SnapshotTest.java
@@ -40,9 +40,9 @@
                     : new LogEntry(
                             "w" + random.nextInt(4), offset, List.of(record(random, whole), record(random, whole)));
             log.add(entry);
-            List<?> effects = whole.apply(offset, timeMillis, entry);
+            List<?> results = whole.apply(offset, timeMillis, entry);
             if (offset > cut) {
-                assertThat(restored.apply(offset, timeMillis, entry)).isEqualTo(effects);
+                assertThat(restored.apply(offset, timeMillis, entry)).isEqualTo(results);
             } else if (offset == cut) {
                 assertThat(restored.restore(whole.export())).isTrue();
             }
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void parts_of_two_snapshots_are_not_mixed_and_copies_of_parts_do_no_harm() {
+    void parts_of_two_snapshots_are_not_mixed_and_duplicate_parts_are_harmless() {
         List<SnapshotPart> first = SnapshotParts.cut("first", 10, "abcdefg", 3);
         List<SnapshotPart> second = SnapshotParts.cut("second", 20, "ABCDEFG", 3);
         SnapshotParts parts = new SnapshotParts();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/state/LogStateTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/state/LogStateTest.java
@@ -18,7 +18,7 @@
     private final LogState state = new LogState();
 
     @Test
-    void writers_that_were_idle_longer_than_any_copy_can_be_late_are_forgotten() {
+    void writers_that_were_idle_longer_than_any_duplicate_can_be_late_are_forgotten() {
         for (int restart = 0; restart < 500; restart++) {
             state.apply(
                     restart + 1L,
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void a_late_copy_of_an_entry_has_no_effect() {
+    void a_late_duplicate_of_an_entry_has_no_effect() {
         state.apply(1, 0, entry("writer", 1, new LogRecord.GatewayJoined("g", "h", "d", "a:1")));
         state.apply(2, 1, entry("writer", 2, new LogRecord.GatewayLeft("g", "test")));
         state.apply(3, HOUR_MILLIS, entry("writer", 1, new LogRecord.GatewayJoined("g", "h", "d", "a:1")));
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/usage/UsageCounterTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/usage/UsageCounterTest.java
@@ -21,7 +21,7 @@
     private final UsageCounter counter = new UsageCounter("host-1/1");
 
     @Test
-    void usage_counted_while_a_delta_is_under_way_makes_the_next_one_due() {
+    void usage_counted_while_a_delta_is_in_flight_makes_the_next_one_due() {
         counter.count(CHAT, ONE_CALL);
         UsageDelta first = counter.next();
         counter.count(CHAT, ONE_CALL);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void an_append_that_failed_and_stands_in_the_log_later_counts_once() {
+    void an_append_that_failed_and_is_in_the_log_later_counts_once() {
         UsageLedger ledger = new UsageLedger();
         counter.count(CHAT, ONE_CALL);
         UsageDelta failed = counter.next();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/usage/UsageLedgerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/usage/UsageLedgerTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void a_window_is_to_be_reported_until_its_acknowledgement_stands_in_the_log() {
+    void a_window_is_reported_until_its_acknowledgement_is_in_the_log() {
         UsageLedger ledger = new UsageLedger();
         ledger.apply(0, delta(1, 5));
         ledger.apply(new WindowClose(1, "host-1/1", 7), 7);
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/usage/UsageReplicationTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/usage/UsageReplicationTest.java
@@ -34,13 +34,13 @@
     }
 
     @Test
-    void a_copy_is_not_appended_while_its_gateway_is_a_member_and_speaks() {
+    void a_copy_is_not_appended_while_its_gateway_is_a_member_and_reports() {
         countAndKill(new UsageReplication.ToOnePeer(GATEWAY, counter, 64));
         assertThat(copies.due(2_000, ledger, Set.of(GATEWAY))).isEmpty();
     }
 
     @Test
-    void a_copy_is_appended_once_its_gateway_is_silent_although_the_log_never_said_that_it_left() {
+    void a_copy_is_appended_once_its_gateway_is_silent_although_it_did_not_leave_according_to_the_log() {
         countAndKill(new UsageReplication.ToOnePeer(GATEWAY, counter, 64));
         assertThat(copies.due(12_000, ledger, Set.of(GATEWAY))).hasSize(1);
     }
