--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/drain/DrainState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/drain/DrainState.java
@@ -8,13 +8,12 @@
 import org.cranberrygauge.model.record.LogRecord.DrainStarted;
 
 /**
- * The drains that stand in the log.
+ * The drains recorded in the log.
  *
- * <p>Invariants: a backend server is drained while any drain names it; a record with a fencing number other than the one
- * in force is void unless it is an operator's. Immutable and safe for use by several threads.
+ * <p>Invariants: a backend server is drained while any drain names it; a record whose fencing number is not the one in
+ * force is void, unless an operator wrote it. Immutable and thread-safe.
  *
- * @param drains The drains by identifier.
- * @param ended The identifiers of the drains that ended lately, the newest last.
+ * @param ended The identifiers of recently ended drains, newest last.
  */
 public record DrainState(Map<String, DrainStarted> drains, List<String> ended) {
 
@@ -24,27 +23,21 @@
     /** The fencing number of records that operators write. */
     public static final long OPERATOR = 0;
 
-    /** Copies the collections. */
     public DrainState {
         drains = Map.copyOf(drains);
         ended = List.copyOf(ended);
     }
 
-    /**
-     * Returns the state before any drain.
-     *
-     * @return The initial state.
-     */
+    /** Returns the state before any drain. */
     public static DrainState initial() {
         return new DrainState(Map.of(), List.of());
     }
 
     /**
-     * Applies a start that was read from the log.
+     * Applies the start of a drain that was read from the log.
      *
-     * @param started The start.
      * @param fencingNumber The fencing number in force.
-     * @return The state after it.
+     * @return The state after the start, or this state if the record is void.
      */
     public DrainState apply(DrainStarted started, long fencingNumber) {
         if (started.fencingNumber() != OPERATOR && started.fencingNumber() != fencingNumber) {
@@ -56,11 +49,10 @@
     }
 
     /**
-     * Applies an end that was read from the log.
+     * Applies the end of a drain that was read from the log.
      *
-     * @param end The end.
      * @param fencingNumber The fencing number in force.
-     * @return The state after it.
+     * @return The state after the end, or this state if the record is void.
      */
     public DrainState apply(DrainEnded end, long fencingNumber) {
         if (end.fencingNumber() != OPERATOR && end.fencingNumber() != fencingNumber) {
@@ -75,22 +67,12 @@
         return new DrainState(next, nextEnded.subList(surplus, nextEnded.size()));
     }
 
-    /**
-     * Tells whether a drain ended lately.
-     *
-     * @param drainId The identifier of the drain.
-     * @return Whether it ended.
-     */
+    /** Returns whether a drain ended recently. */
     public boolean hasEnded(String drainId) {
         return ended.contains(drainId);
     }
 
-    /**
-     * Tells whether a backend server is drained.
-     *
-     * @param backendServer The name of the backend server.
-     * @return Whether it gets no new work.
-     */
+    /** Returns whether a backend server is drained and gets no new work. */
     public boolean isDrained(String backendServer) {
         return drains.values().stream().anyMatch(drain -> drain.backendServers().contains(backendServer));
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/drain/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Backend servers that get no new work. */
+/** Drains of backend servers, which get no new work while they are drained. */
 package org.cranberrygauge.decision.drain;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/edit/ConfigurationEdit.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/edit/ConfigurationEdit.java
@@ -13,35 +13,33 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * A change of one part of a configuration.
+ * A change to one part of a configuration.
  *
- * <p>Invariants: an edit either gives a whole new configuration or fails and changes nothing; adding what is there and
- * changing or removing what is not there are errors. Immutable and safe for use by several threads.
+ * <p>Invariants: an edit either yields a complete new configuration or fails without any change; adding an existing
+ * part fails, and so does changing or removing a missing one. Immutable and thread-safe.
  */
 public sealed interface ConfigurationEdit {
 
     /**
      * Applies the edit.
      *
-     * @param before The configuration before.
-     * @return The configuration after.
+     * @return The configuration after the edit.
      * @throws CranberrygaugeException If the edit does not fit the configuration.
      */
     Configuration apply(Configuration before) throws CranberrygaugeException;
 
-    /** Whether an edit adds a part or changes one that is there. */
+    /** Whether an edit adds a part or changes an existing one. */
     enum Mode {
-        /** The part must not be there yet. */
+        /** The part must not exist yet. */
         ADD,
-        /** The part must be there. */
+        /** The part must exist. */
         CHANGE
     }
 
     /**
      * Adds or changes a customer.
      *
-     * @param mode Whether it is there already.
-     * @param customer The customer.
+     * @param mode Whether the customer must already exist.
      */
     record PutCustomer(Mode mode, Customer customer) implements ConfigurationEdit {
 
@@ -57,11 +55,7 @@
         }
     }
 
-    /**
-     * Removes a customer with all its keys.
-     *
-     * @param name The name.
-     */
+    /** Removes a customer with all its keys. */
     record RemoveCustomer(String name) implements ConfigurationEdit {
 
         @Override
@@ -74,15 +68,13 @@
     /**
      * Adds a key to a customer, or replaces the key of the same name.
      *
-     * @param mode Whether a key of the name is there already.
-     * @param customer The name of the customer.
-     * @param key The key.
+     * @param mode Whether a key of the same name must already exist.
      */
     record PutKey(Mode mode, String customer, CustomerKey key) implements ConfigurationEdit {
 
         @Override
         public Configuration apply(Configuration before) throws CranberrygaugeException {
-            Customer owner = existing(before, customer);
+            Customer owner = existingCustomer(before, customer);
             List<CustomerKey> keys = put(
                     "key", key.name(), mode, owner.keys(), other -> other.name().equals(key.name()), key);
             return new PutCustomer(Mode.CHANGE, owner.withKeys(keys)).apply(before);
@@ -92,14 +84,13 @@
     /**
      * Withdraws a key of a customer.
      *
-     * @param customer The name of the customer.
      * @param name The name of the key.
      */
     record RemoveKey(String customer, String name) implements ConfigurationEdit {
 
         @Override
         public Configuration apply(Configuration before) throws CranberrygaugeException {
-            Customer owner = existing(before, customer);
+            Customer owner = existingCustomer(before, customer);
             List<CustomerKey> keys =
                     remove("key", name, owner.keys(), other -> other.name().equals(name));
             return new PutCustomer(Mode.CHANGE, owner.withKeys(keys)).apply(before);
@@ -109,8 +100,7 @@
     /**
      * Adds or changes a service class.
      *
-     * @param mode Whether it is there already.
-     * @param serviceClass The class.
+     * @param mode Whether the class must already exist.
      */
     record PutClass(Mode mode, ServiceClass serviceClass) implements ConfigurationEdit {
 
@@ -126,11 +116,7 @@
         }
     }
 
-    /**
-     * Removes a service class.
-     *
-     * @param name The name.
-     */
+    /** Removes a service class. */
     record RemoveClass(String name) implements ConfigurationEdit {
 
         @Override
@@ -143,8 +129,7 @@
     /**
      * Adds or changes the weekly cleaning window of a data centre.
      *
-     * @param mode Whether the data centre has a window already.
-     * @param window The window.
+     * @param mode Whether the data centre must already have a window.
      */
     record PutCleaningWindow(Mode mode, CleaningWindow window) implements ConfigurationEdit {
 
@@ -160,11 +145,7 @@
         }
     }
 
-    /**
-     * Removes the weekly cleaning window of a data centre.
-     *
-     * @param dataCentre The name of the data centre.
-     */
+    /** Removes the weekly cleaning window of a data centre. */
     record RemoveCleaningWindow(String dataCentre) implements ConfigurationEdit {
 
         @Override
@@ -180,8 +161,7 @@
     /**
      * Adds or changes a backend server.
      *
-     * @param mode Whether it is there already.
-     * @param server The backend server.
+     * @param mode Whether the backend server must already exist.
      */
     record PutBackendServer(Mode mode, BackendServer server) implements ConfigurationEdit {
 
@@ -197,11 +177,7 @@
         }
     }
 
-    /**
-     * Removes a backend server.
-     *
-     * @param name The name.
-     */
+    /** Removes a backend server from the configuration. */
     record RemoveBackendServer(String name) implements ConfigurationEdit {
 
         @Override
@@ -215,42 +191,36 @@
     }
 
     /**
-     * Finds a customer that must be there.
+     * Returns a customer that must exist.
      *
-     * @param configuration The configuration.
-     * @param name The name.
-     * @return The customer.
-     * @throws CranberrygaugeException If it is not there.
+     * @throws CranberrygaugeException If there is no such customer.
      */
-    private static Customer existing(Configuration configuration, String name) throws CranberrygaugeException {
-        return configuration.customer(name).orElseThrow(() -> refuse("customer", name, "is not in force"));
+    private static Customer existingCustomer(Configuration configuration, String name) throws CranberrygaugeException {
+        return configuration.customer(name).orElseThrow(() -> mismatch("customer", name, "is not in force"));
     }
 
     /**
-     * Adds an item at the end, or replaces it at its place.
+     * Appends an item, or replaces it at its position.
      *
-     * @param kind The kind of the item.
-     * @param name The name of the item.
-     * @param mode Whether it must be there.
-     * @param items The items.
-     * @param same Recognises the item.
-     * @param item The item.
-     * @param <T> The type.
-     * @return The items after.
+     * @param kind The kind of the item, for the error message.
+     * @param name The name of the item, for the error message.
+     * @param mode Whether the item must already exist.
+     * @param matches Identifies the item.
+     * @return The items after the change.
      * @throws CranberrygaugeException If the mode does not fit.
      */
-    private static <T> List<T> put(String kind, String name, Mode mode, List<T> items, Predicate<T> same, T item)
+    private static <T> List<T> put(String kind, String name, Mode mode, List<T> items, Predicate<T> matches, T item)
             throws CranberrygaugeException {
-        boolean present = items.stream().anyMatch(same);
+        boolean present = items.stream().anyMatch(matches);
         if (present && mode == Mode.ADD) {
-            throw refuse(kind, name, "is there already; use change");
+            throw mismatch(kind, name, "is there already; use change");
         }
         if (!present && mode == Mode.CHANGE) {
-            throw refuse(kind, name, "is not in force; use add");
+            throw mismatch(kind, name, "is not in force; use add");
         }
         List<T> after = new ArrayList<>(items);
         if (present) {
-            after.replaceAll(other -> same.test(other) ? item : other);
+            after.replaceAll(other -> matches.test(other) ? item : other);
         } else {
             after.add(item);
         }
@@ -260,32 +230,23 @@
     /**
      * Removes an item.
      *
-     * @param kind The kind of the item.
-     * @param name The name of the item.
-     * @param items The items.
-     * @param same Recognises the item.
-     * @param <T> The type.
-     * @return The items after.
-     * @throws CranberrygaugeException If it is not there.
+     * @param kind The kind of the item, for the error message.
+     * @param name The name of the item, for the error message.
+     * @param matches Identifies the item.
+     * @return The items after the removal.
+     * @throws CranberrygaugeException If there is no such item.
      */
-    private static <T> List<T> remove(String kind, String name, List<T> items, Predicate<T> same)
+    private static <T> List<T> remove(String kind, String name, List<T> items, Predicate<T> matches)
             throws CranberrygaugeException {
         List<T> after = new ArrayList<>(items);
-        if (!after.removeIf(same)) {
-            throw refuse(kind, name, "is not in force");
+        if (!after.removeIf(matches)) {
+            throw mismatch(kind, name, "is not in force");
         }
         return after;
     }
 
-    /**
-     * Builds the error of an edit that does not fit.
-     *
-     * @param kind The kind of the item.
-     * @param name The name of the item.
-     * @param reason The reason.
-     * @return The error.
-     */
-    private static CranberrygaugeException refuse(String kind, String name, String reason) {
+    /** Creates the error of an edit that does not fit. */
+    private static CranberrygaugeException mismatch(String kind, String name, String reason) {
         return new CranberrygaugeException(
                 ErrorCode.INVALID_CONFIGURATION, kind + " \"" + name + "\" " + reason + "; nothing was changed");
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/edit/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/edit/package-info.java
@@ -1,2 +1,2 @@
-/** Changes of one part of a configuration. */
+/** Edits of one part of a configuration. */
 package org.cranberrygauge.decision.edit;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/ExchangePlan.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/ExchangePlan.java
@@ -12,28 +12,25 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides with which nodes a node exchanges reports.
+ * Decides with which nodes each node exchanges reports.
  *
- * <p>Implementations are immutable and safe for use by several threads, and every node that knows the same members
- * reaches the same plan.
+ * <p>Implementations are immutable and thread-safe. All nodes that know the same members compute the same plan.
  */
 public interface ExchangePlan {
 
     /**
-     * Lists the nodes that a node calls in each round.
+     * Returns the nodes that a node calls in each round.
      *
-     * @param self The node.
      * @param members All nodes, with or without the node itself.
-     * @return The nodes that it calls.
      */
     Set<ControlNode> peersOf(ControlNode self, Collection<ControlNode> members);
 
     /**
-     * Lists the nodes that a node calls where each pair needs one call only, since the answer carries a report too.
+     * Returns the nodes that a node calls if each pair needs only one call, because the answer carries a report as
+     * well.
      *
-     * @param self The node.
      * @param members All nodes, with or without the node itself.
-     * @return The part of its peers that it calls; the others call it.
+     * @return The peers that the node calls; the other peers call it.
      */
     default Set<ControlNode> callsOf(ControlNode self, Collection<ControlNode> members) {
         Set<ControlNode> calls = new LinkedHashSet<>(peersOf(self, members));
@@ -42,9 +39,8 @@
         return calls;
     }
 
-    /** Exchanges with every node, which is the baseline for few nodes. */
+    /** Exchanges reports with every node. A baseline for a small number of nodes. */
     enum AllToAll implements ExchangePlan {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -56,10 +52,11 @@
     }
 
     /**
-     * Exchanges within a cell of one data centre; the log readers of a cell also call a fixed number of other cells.
+     * Exchanges reports within a cell of one data centre. The log readers of a cell also call a fixed number of other
+     * cells.
      *
-     * <p>Invariants: a node is in exactly one cell; a cell has at most one and a half times the target size, rounded up;
-     * the number of peers does not grow with the number of nodes.
+     * <p>Invariants: a node is in exactly one cell; a cell has at most one and a half times the target size, rounded
+     * up; the number of peers does not grow with the number of nodes.
      *
      * @param cellSize The target number of nodes in a cell.
      * @param readersPerCell The number of members that read the log for their cell.
@@ -67,14 +64,10 @@
      */
     record Cells(int cellSize, int readersPerCell, int linksPerReader) implements ExchangePlan {
 
-        /** The factor between the target size of a cell and its limit. */
-        private static final double SLACK = 1.5;
+        /** The ratio of the maximum size of a cell to its target size. */
+        private static final double MAXIMUM_SIZE_FACTOR = 1.5;
 
-        /**
-         * Returns the plan for the target size.
-         *
-         * @return The plan.
-         */
+        /** Returns the default plan. */
         public static Cells standard() {
             return new Cells(8, 2, 2);
         }
@@ -82,7 +75,6 @@
         /**
          * Divides nodes into cells.
          *
-         * @param members All nodes.
          * @return The cells in the order of their names.
          */
         public List<Cell> cells(Collection<ControlNode> members) {
@@ -95,11 +87,11 @@
         }
 
         /**
-         * Divides the backend servers of a data centre over its cells, each model evenly.
+         * Divides the backend servers of a data centre among its cells, evenly for each model.
          *
          * @param cells The cells of the data centre.
          * @param servers The names of the servers that run one model.
-         * @return The names by the name of the cell.
+         * @return The names of the servers by the name of the cell.
          */
         public Map<String, List<String>> serversOf(Collection<Cell> cells, Collection<String> servers) {
             int limit = (servers.size() + cells.size() - 1) / cells.size();
@@ -111,30 +103,28 @@
             Set<ControlNode> all = new LinkedHashSet<>(members);
             all.add(self);
             List<Cell> cells = cells(all);
-            Cell own = cells.stream()
+            Cell ownCell = cells.stream()
                     .filter(cell -> cell.members().contains(self))
                     .findFirst()
                     .orElseThrow();
-            Set<ControlNode> peers = new LinkedHashSet<>(own.members());
-            if (own.logReaders().contains(self)) {
-                peers.addAll(links(self, own, cells));
+            Set<ControlNode> peers = new LinkedHashSet<>(ownCell.members());
+            if (ownCell.logReaders().contains(self)) {
+                peers.addAll(linkedReaders(self, ownCell, cells));
             }
             peers.remove(self);
             return peers;
         }
 
         /**
-         * Lists the readers of other cells that a reader calls, other data centres first.
+         * Returns the readers of other cells that a reader calls, those in other data centres first.
          *
          * @param self The reader.
-         * @param own Its cell.
-         * @param cells All cells.
-         * @return The readers.
          */
-        private List<ControlNode> links(ControlNode self, Cell own, List<Cell> cells) {
-            List<Cell> others = cells.stream().filter(cell -> !cell.equals(own)).toList();
+        private List<ControlNode> linkedReaders(ControlNode self, Cell ownCell, List<Cell> cells) {
+            List<Cell> others =
+                    cells.stream().filter(cell -> !cell.equals(ownCell)).toList();
             List<Cell> ranked = new ArrayList<>(RendezvousHash.ranked(self.name(), others, Cell::name));
-            ranked.sort(Comparator.comparing(cell -> cell.dataCentre().equals(own.dataCentre())));
+            ranked.sort(Comparator.comparing(cell -> cell.dataCentre().equals(ownCell.dataCentre())));
             return ranked.stream()
                     .limit(linksPerReader)
                     .map(cell -> RendezvousHash.ranked(self.name(), cell.logReaders(), ControlNode::name)
@@ -142,13 +132,7 @@
                     .toList();
         }
 
-        /**
-         * Divides the nodes of one data centre.
-         *
-         * @param dataCentre The name of the data centre.
-         * @param nodes Its nodes.
-         * @return The cells.
-         */
+        /** Divides the nodes of one data centre into cells. */
         private List<Cell> cellsOf(String dataCentre, List<ControlNode> nodes) {
             int count = Math.max(1, (int) Math.round((double) nodes.size() / cellSize));
             List<String> names = new ArrayList<>();
@@ -157,7 +141,7 @@
             }
             Map<String, ControlNode> byName =
                     nodes.stream().collect(Collectors.toMap(ControlNode::name, Function.identity()));
-            int limit = (int) Math.ceil(SLACK * cellSize);
+            int limit = (int) Math.ceil(MAXIMUM_SIZE_FACTOR * cellSize);
             List<Cell> cells = new ArrayList<>();
             RendezvousHash.divide(byName.keySet(), names, limit).forEach((name, keys) -> {
                 if (!keys.isEmpty()) {
@@ -168,14 +152,6 @@
             return cells;
         }
 
-        /**
-         * Builds one cell.
-         *
-         * @param name The name.
-         * @param dataCentre The name of its data centre.
-         * @param members The members.
-         * @return The cell.
-         */
         private Cell cell(String name, String dataCentre, List<ControlNode> members) {
             List<ControlNode> readers = RendezvousHash.ranked(name, members, ControlNode::name).stream()
                     .limit(readersPerCell)
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/RendezvousHash.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/RendezvousHash.java
@@ -11,33 +11,29 @@
 /**
  * Rendezvous hashing: each key ranks all candidates by a hash of the pair.
  *
- * <p>Invariants: the result depends only on the key and the set of candidates, not on their order; the loss of a candidate
- * moves only the keys that it had. Stateless and safe for use by several threads.
+ * <p>Invariants: the result depends only on the key and the set of candidates, not on their order; the removal of a
+ * candidate moves only the keys that it had. Stateless and thread-safe.
  */
 public final class RendezvousHash {
 
-    /** The value between the two texts of a pair. */
+    /** The value hashed between the key and the candidate. */
     private static final int SEPARATOR = 0xff;
 
-    /** The first factor of the finalizer. */
+    /** The first multiplier of the finalizer. */
     private static final long FIRST_MIX = 0xff51afd7ed558ccdL;
 
-    /** The second factor of the finalizer. */
+    /** The second multiplier of the finalizer. */
     private static final long SECOND_MIX = 0xc4ceb9fe1a85ec53L;
 
-    /** The shift of the finalizer. */
+    /** The shift distance of the finalizer. */
     private static final int MIX_SHIFT = 33;
 
-    /** Prevents instances. */
     private RendezvousHash() {}
 
     /**
      * Ranks candidates for a key.
      *
-     * @param key The key.
-     * @param candidates The candidates.
      * @param nameOf Returns the unique name of a candidate.
-     * @param <T> The type of the candidates.
      * @return The candidates, best first.
      */
     public static <T> List<T> ranked(String key, Collection<T> candidates, Function<T, String> nameOf) {
@@ -54,11 +50,10 @@
     }
 
     /**
-     * Divides keys over buckets, none of which takes more than its limit.
+     * Distributes keys over buckets with a limit on the keys per bucket.
      *
-     * @param keys The keys.
-     * @param buckets The buckets.
-     * @param limit The highest number of keys in a bucket; buckets times limit must be at least the number of keys.
+     * @param limit The maximum number of keys per bucket; the number of buckets times the limit must be at least the
+     *     number of keys.
      * @return The keys by bucket, each in natural order.
      */
     public static Map<String, List<String>> divide(Collection<String> keys, Collection<String> buckets, int limit) {
@@ -79,13 +74,7 @@
         return divided;
     }
 
-    /**
-     * Hashes a pair.
-     *
-     * @param key The key.
-     * @param candidate The candidate.
-     * @return The score.
-     */
+    /** Returns the score of a candidate for a key. */
     static long score(String key, String candidate) {
         long hash = StableHash.update(StableHash.START, key);
         hash = StableHash.update(hash, SEPARATOR);
@@ -96,12 +85,9 @@
     }
 
     /**
-     * A candidate with its score, which is computed once for each ranking.
+     * A candidate with its score, which is computed once per ranking.
      *
-     * @param candidate The candidate.
-     * @param name Its unique name.
-     * @param score Its score.
-     * @param <T> The type of the candidate.
+     * @param name The unique name of the candidate.
      */
     private record Scored<T>(T candidate, String name, long score) {}
 }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/StableHash.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/StableHash.java
@@ -3,36 +3,31 @@
 /**
  * The FNV-1a hash, which is the same in every process.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  */
 public final class StableHash {
 
-    /** The hash of nothing. */
+    /** The initial value of the hash (the FNV offset basis). */
     public static final long START = 0xcbf29ce484222325L;
 
-    /** The factor of the hash. */
+    /** The multiplier of the hash (the FNV prime). */
     private static final long PRIME = 0x100000001b3L;
 
-    /** Prevents instances. */
     private StableHash() {}
 
     /**
-     * Takes a value into a hash.
+     * Adds a value to a hash.
      *
-     * @param before The hash before.
-     * @param value The value.
-     * @return The hash after.
+     * @return The new hash.
      */
     public static long update(long before, int value) {
         return (before ^ value) * PRIME;
     }
 
     /**
-     * Takes a text into a hash.
+     * Adds the characters of a text to a hash.
      *
-     * @param before The hash before.
-     * @param text The text.
-     * @return The hash after.
+     * @return The new hash.
      */
     public static long update(long before, String text) {
         long hash = before;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/package-info.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/topology/package-info.java
@@ -1,2 +1,2 @@
-/** Which nodes exchange with which others, and who reads the log for whom. */
+/** The exchange topology: which nodes exchange reports, and which ones read the log for others. */
 package org.cranberrygauge.decision.topology;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/edit/ConfigurationEditTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/edit/ConfigurationEditTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void a_change_keeps_the_place_in_the_list() throws CranberrygaugeException {
+    void a_change_keeps_the_position_in_the_list() throws CranberrygaugeException {
         ServiceClass study = new ServiceClass("study", 3, 0.1, 1_000, 31, 5_000, 100);
         Configuration two = new ConfigurationEdit.PutClass(Mode.ADD, study).apply(before);
         ServiceClass faster = new ServiceClass("chat", 1, 0.5, 500, 31, 5_000, 100);
@@ -43,13 +43,13 @@
     }
 
     @Test
-    void adding_what_is_there_is_refused() {
+    void adding_an_existing_part_is_refused() {
         ConfigurationEdit edit = new ConfigurationEdit.PutKey(Mode.ADD, "clubs", KEY);
         assertThatThrownBy(() -> edit.apply(before)).hasMessageContaining("key \"first\" is there already");
     }
 
     @Test
-    void changing_or_removing_what_is_not_there_is_refused() {
+    void changing_or_removing_a_missing_part_is_refused() {
         ConfigurationEdit change =
                 new ConfigurationEdit.PutCustomer(Mode.CHANGE, new Customer("nobody", 1, List.of(), Set.of()));
         assertThatThrownBy(() -> change.apply(before)).hasMessageContaining("\"nobody\" is not in force");
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/topology/ExchangePlanTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/topology/ExchangePlanTest.java
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void the_links_of_the_readers_join_all_cells() {
+    void the_links_of_the_readers_connect_all_cells() {
         List<ControlNode> nodes = nodes(330);
         Map<String, ControlNode> reached = new HashMap<>();
         List<ControlNode> open = new ArrayList<>(List.of(nodes.get(0)));
