--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/BackendKind.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/BackendKind.java
@@ -1,9 +1,9 @@
 package org.cranberrygauge.model.backend;
 
-/** The kinds of backend servers. */
+/** The kind of a backend server. */
 public enum BackendKind {
-    /** An engine that runs language models. */
+    /** An inference engine that serves language models. */
     MODEL,
-    /** A plain service beside the engines. */
+    /** A plain HTTP service. */
     SERVICE
 }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/BackendServer.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/BackendServer.java
@@ -6,13 +6,11 @@
  * A backend server as configured or as listed by the platform.
  *
  * @param name The name, unique in the deployment.
- * @param address The address of its HTTP interface.
- * @param dataCentre The name of its data centre.
- * @param kind The kind.
- * @param serves The models it runs, or the one service it offers.
- * @param supply How it is supplied.
- * @param slots The number of requests it runs at once.
- * @param checksFencing Whether it refuses orders with an old fencing number.
+ * @param address The address of its HTTP endpoint.
+ * @param serves The models that the server runs, or the one service that it offers.
+ * @param supply The kind of capacity that the server was ordered as.
+ * @param slots The number of requests that the server runs concurrently.
+ * @param checksFencing Whether the server rejects orders with an outdated fencing number.
  */
 public record BackendServer(
         String name,
@@ -24,17 +22,11 @@
         int slots,
         boolean checksFencing) {
 
-    /** Copies the set of served names. */
     public BackendServer {
         serves = Set.copyOf(serves);
     }
 
-    /**
-     * Tells whether this backend server can take a request for a model or service.
-     *
-     * @param target The model or service.
-     * @return Whether it is served here.
-     */
+    /** Returns whether this backend server serves a model or service. */
     public boolean canServe(String target) {
         return serves.contains(target);
     }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/HostState.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/HostState.java
@@ -1,11 +1,10 @@
 package org.cranberrygauge.model.backend;
 
-/** The state of a host in the platform's lagging list. */
+/** The state of a host in the platform's list, which may lag behind. */
 public enum HostState {
-    /** The host is ordered and starts up. */
+    /** The host was ordered and is starting. */
     STARTING,
-    /** The host is live. */
     LIVE,
-    /** The host will leave and gets no new work. */
+    /** The host is going to be removed and gets no new work. */
     LEAVING
 }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/NetworkAddress.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/NetworkAddress.java
@@ -1,22 +1,18 @@
 package org.cranberrygauge.model.backend;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * @param host The IP number.
- * @param port The port.
+ * @param host The IP address.
  */
 public record NetworkAddress(String host, int port) {
 
-    /** The highest port number. */
     private static final int HIGHEST_PORT = 65_535;
 
     /**
-     * Reads an address written as HOST:PORT.
+     * Parses an address of the form HOST:PORT.
      *
-     * @param text The text.
-     * @return The address.
-     * @throws IllegalArgumentException If the text is no address.
+     * @throws IllegalArgumentException If the text is not an address.
      */
     public static NetworkAddress parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/Supply.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/Supply.java
@@ -1,9 +1,9 @@
 package org.cranberrygauge.model.backend;
 
-/** How a backend server is supplied. */
+/** The kind of capacity that a backend server is ordered as. */
 public enum Supply {
-    /** It stays until it is handed back. */
+    /** Capacity that stays until it is released. */
     REGULAR,
-    /** It costs less and may be evicted with its whole data centre. */
+    /** Cheaper capacity that may be evicted, all servers of a data centre at once. */
     CHEAP
 }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/package-info.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Backend servers, the places they run in and their supply. */
+/** Backend servers, the data centres and hosts that they run in, and the kinds of capacity. */
 package org.cranberrygauge.model.backend;
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/Configuration.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/Configuration.java
@@ -10,20 +10,16 @@
 import org.cranberrygauge.model.service.ServiceRoute;
 
 /**
- * A whole configuration.
+ * A complete configuration.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
- * @param deployment The name of the deployment.
- * @param dataCentres The data centres.
- * @param classes The service classes.
- * @param customers The customers.
- * @param models The models that callers may name.
+ * @param models The models that requests may name.
  * @param routes The routes to plain services.
  * @param backendServers The backend servers that are not ordered from the platform.
- * @param fleet The pools of backend servers that may be ordered.
+ * @param fleet The pools of backend servers that may be ordered from the platform.
  * @param cleaningWindows The weekly cleaning windows.
- * @param times The times of the control functions.
+ * @param times The timeouts and intervals of the control functions.
  */
 public record Configuration(
         String deployment,
@@ -37,7 +33,7 @@
         List<CleaningWindow> cleaningWindows,
         ControlTimes times) {
 
-    /** The configuration before any was accepted. */
+    /** The configuration before any change was accepted. */
     private static final Configuration EMPTY = new Configuration(
             "",
             List.of(),
@@ -50,7 +46,6 @@
             List.of(),
             ControlTimes.standard());
 
-    /** Copies the lists. */
     public Configuration {
         dataCentres = List.copyOf(dataCentres);
         classes = List.copyOf(classes);
@@ -62,20 +57,15 @@
         cleaningWindows = List.copyOf(cleaningWindows);
     }
 
-    /**
-     * Returns the configuration before any was accepted.
-     *
-     * @return The empty configuration.
-     */
+    /** Returns the configuration before any change was accepted. */
     public static Configuration empty() {
         return EMPTY;
     }
 
     /**
-     * Finds a class by name.
+     * Returns the service class of a name.
      *
-     * @param name The name.
-     * @return The class, or nothing.
+     * @return The class, or empty if there is none of that name.
      */
     public Optional<ServiceClass> serviceClass(String name) {
         return classes.stream()
@@ -84,10 +74,9 @@
     }
 
     /**
-     * Finds a customer by name.
+     * Returns the customer of a name.
      *
-     * @param name The name.
-     * @return The customer, or nothing.
+     * @return The customer, or empty if there is none of that name.
      */
     public Optional<Customer> customer(String name) {
         return customers.stream()
@@ -95,12 +84,7 @@
                 .findFirst();
     }
 
-    /**
-     * Adds a customer or replaces the one of the same name.
-     *
-     * @param customer The customer.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with a customer added, or replaced if there is one of the same name. */
     public Configuration withCustomer(Customer customer) {
         List<Customer> replacement = new ArrayList<>(customers);
         replacement.removeIf(candidate -> candidate.name().equals(customer.name()));
@@ -108,12 +92,7 @@
         return withCustomers(replacement);
     }
 
-    /**
-     * Replaces one part: the data centres.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other data centres. */
     public Configuration withDataCentres(List<DataCentre> replacement) {
         return new Configuration(
                 deployment,
@@ -128,12 +107,7 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the service classes.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other service classes. */
     public Configuration withClasses(List<ServiceClass> replacement) {
         return new Configuration(
                 deployment,
@@ -148,12 +122,7 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the customers.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other customers. */
     public Configuration withCustomers(List<Customer> replacement) {
         return new Configuration(
                 deployment,
@@ -168,12 +137,7 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the models that callers may name.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other models. */
     public Configuration withModels(List<String> replacement) {
         return new Configuration(
                 deployment,
@@ -188,12 +152,7 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the routes to plain services.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other routes to plain services. */
     public Configuration withRoutes(List<ServiceRoute> replacement) {
         return new Configuration(
                 deployment,
@@ -208,12 +167,7 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the backend servers that are not ordered from the platform.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other backend servers that are not ordered from the platform. */
     public Configuration withBackendServers(List<BackendServer> replacement) {
         return new Configuration(
                 deployment,
@@ -228,12 +182,7 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the pools of backend servers that may be ordered.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other pools of backend servers that may be ordered. */
     public Configuration withFleet(List<FleetPool> replacement) {
         return new Configuration(
                 deployment,
@@ -248,23 +197,13 @@
                 times);
     }
 
-    /**
-     * Replaces one part: the weekly cleaning windows.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other weekly cleaning windows. */
     public Configuration withCleaningWindows(List<CleaningWindow> replacement) {
         return new Configuration(
                 deployment, dataCentres, classes, customers, models, routes, backendServers, fleet, replacement, times);
     }
 
-    /**
-     * Replaces one part: the times of the control functions.
-     *
-     * @param replacement The new part.
-     * @return The refined configuration.
-     */
+    /** Returns a copy with other timeouts and intervals. */
     public Configuration withTimes(ControlTimes replacement) {
         return new Configuration(
                 deployment,
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/ControlTimes.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/ControlTimes.java
@@ -1,13 +1,14 @@
 package org.cranberrygauge.model.configuration;
 
 /**
- * The times of the control functions.
+ * The timeouts and intervals of the control functions.
  *
  * @param leaseMillis The length of the controller's lease in milliseconds.
- * @param orderTimeoutMillis The longest time an order may be under way in milliseconds.
+ * @param orderTimeoutMillis The longest time that an order may be in transit, in milliseconds.
  * @param usageWindowMillis The length of a usage window in milliseconds.
- * @param reservationRetentionMillis The time for which an idempotency key is remembered in milliseconds.
- * @param freshnessMillis The longest time without news of the log after which a lone gateway stops admitting.
+ * @param reservationRetentionMillis The time for which an idempotency key is remembered, in milliseconds.
+ * @param freshnessMillis The time without news of the log after which an isolated gateway stops admitting, in
+ *     milliseconds.
  */
 public record ControlTimes(
         long leaseMillis,
@@ -16,14 +17,10 @@
         long reservationRetentionMillis,
         long freshnessMillis) {
 
-    /** The times of a configuration that states none. */
+    /** The default values. */
     private static final ControlTimes STANDARD = new ControlTimes(6_000, 1_000, 60_000, 86_400_000, 3_000);
 
-    /**
-     * Returns the times of a configuration that states none.
-     *
-     * @return The standard times.
-     */
+    /** Returns the default values. */
     public static ControlTimes standard() {
         return STANDARD;
     }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/VersionedConfiguration.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/VersionedConfiguration.java
@@ -1,21 +1,16 @@
 package org.cranberrygauge.model.configuration;
 
 /**
- * A configuration and the log position that brought it into force.
+ * A configuration with the log offset that brought it into force.
  *
- * @param version The version, which is the log offset of the accepted change; 0 before any.
- * @param configuration The configuration.
+ * @param version The version, which is the log offset of the accepted change; 0 before any change.
  */
 public record VersionedConfiguration(long version, Configuration configuration) {
 
     /** The state before any change was accepted. */
     private static final VersionedConfiguration INITIAL = new VersionedConfiguration(0, Configuration.empty());
 
-    /**
-     * Returns the state before any change was accepted.
-     *
-     * @return The initial state.
-     */
+    /** Returns the state before any change was accepted. */
     public static VersionedConfiguration initial() {
         return INITIAL;
     }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/package-info.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration that operators accept and the changes that lead to it. */
+/** The configuration and its parts. */
 package org.cranberrygauge.model.configuration;
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/customer/Customer.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/customer/Customer.java
@@ -4,47 +4,30 @@
 import java.util.Set;
 
 /**
- * A customer, its keys and what it may use.
+ * A customer with its keys and permissions.
  *
  * @param name The name, unique in the deployment.
- * @param weight The weight of the fair share within a class.
- * @param keys The keys that work.
- * @param classes The names of the classes it may use.
+ * @param weight The weight in fair sharing within a service class.
+ * @param keys The valid keys.
+ * @param classes The names of the service classes that the customer may use.
  */
 public record Customer(String name, int weight, List<CustomerKey> keys, Set<String> classes) {
 
-    /** Copies the collections. */
     public Customer {
         keys = List.copyOf(keys);
         classes = Set.copyOf(classes);
     }
 
-    /**
-     * Replaces the keys.
-     *
-     * @param replacement The new keys.
-     * @return The refined customer.
-     */
     public Customer withKeys(List<CustomerKey> replacement) {
         return new Customer(name, weight, replacement, classes);
     }
 
-    /**
-     * Replaces the classes.
-     *
-     * @param replacement The names of the new classes.
-     * @return The refined customer.
-     */
+    /** Returns a copy with other service classes. */
     public Customer withClasses(Set<String> replacement) {
         return new Customer(name, weight, keys, replacement);
     }
 
-    /**
-     * Replaces the weight.
-     *
-     * @param replacement The new weight.
-     * @return The refined customer.
-     */
+    /** Returns a copy with another weight. */
     public Customer withWeight(int replacement) {
         return new Customer(name, replacement, keys, classes);
     }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/customer/KeyDigest.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/customer/KeyDigest.java
@@ -6,30 +6,23 @@
 import java.util.HexFormat;
 
 /**
- * The SHA-256 of a caller's key; the key itself is never kept.
+ * The SHA-256 digest of a caller's key. The key itself is never stored.
  *
  * @param hexadecimal The digest in lower-case hexadecimal digits.
  */
 public record KeyDigest(String hexadecimal) {
 
-    /** The name of the digest algorithm. */
     private static final String ALGORITHM = "SHA-256";
 
-    /**
-     * Computes the digest of a key.
-     *
-     * @param key The key.
-     * @return The digest.
-     */
+    /** Computes the digest of a key. */
     public static KeyDigest of(String key) {
         return new KeyDigest(digest(key.getBytes(StandardCharsets.UTF_8)));
     }
 
     /**
-     * Computes the hexadecimal digest of bytes.
+     * Computes the SHA-256 digest of bytes.
      *
-     * @param bytes The bytes.
-     * @return The digest in hexadecimal digits.
+     * @return The digest in lower-case hexadecimal digits.
      */
     public static String digest(byte[] bytes) {
         try {
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/error/package-info.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/error/package-info.java
@@ -1,2 +1,2 @@
-/** Checked exceptions with stable codes. */
+/** The checked exception type and its stable codes. */
 package org.cranberrygauge.model.error;
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/package-info.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/package-info.java
@@ -1,2 +1,2 @@
-/** The records of the domain: plain immutable data without input, output or decisions. */
+/** The domain model: immutable data without input, output or decisions. */
 package org.cranberrygauge.model;
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/LogEntry.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/LogEntry.java
@@ -3,15 +3,13 @@
 import java.util.List;
 
 /**
- * One appended entry with the records that share it.
+ * An entry of the log, which holds records that are appended together.
  *
- * @param writer The incarnation that wrote it.
- * @param sequence The sequence number of the writer, by which copies are recognised.
- * @param records The records.
+ * @param writer The incarnation that wrote the entry.
+ * @param sequence The sequence number of the writer, by which duplicates are recognized.
  */
 public record LogEntry(String writer, long sequence, List<LogRecord> records) {
 
-    /** Copies the list. */
     public LogEntry {
         records = List.copyOf(records);
     }
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/LogRecord.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/LogRecord.java
@@ -4,32 +4,30 @@
 import java.util.Set;
 import org.cranberrygauge.model.configuration.Configuration;
 
-/** A record in the append-only log; several records share one appended entry. */
+/** A record in the append-only log. Several records may share one entry. */
 public sealed interface LogRecord {
 
     /**
-     * A change of the whole configuration, valid only if the base is still in force.
+     * A change of the whole configuration. Valid only if its base version is still in force.
      *
-     * @param changeId The identifier of the change, which makes copies harmless.
-     * @param operator The name of the operator.
-     * @param baseVersion The version that the change was prepared on.
+     * @param changeId The identifier of the change, by which duplicates are recognized.
+     * @param baseVersion The version that the change is based on.
      * @param configuration The configuration after the change.
      */
     record ConfigurationChange(String changeId, String operator, long baseVersion, Configuration configuration)
             implements LogRecord {}
 
     /**
-     * A claim or renewal of the lease, valid only if no other valid claim came after the one it names.
+     * A claim or renewal of the lease. Valid only if no other valid claim follows the one that it names.
      *
-     * @param holder The incarnation that claims.
-     * @param host The host of the holder.
-     * @param previousOffset The offset of the last valid claim that the holder saw; 0 for none.
+     * @param holder The incarnation that claims the lease.
+     * @param previousOffset The offset of the last valid claim that the claimant has read; 0 for none.
      * @param leaseMillis The length of the lease in milliseconds.
      */
     record LeaseClaim(String holder, String host, long previousOffset, long leaseMillis) implements LogRecord {}
 
     /**
-     * The release of a lease by its holder.
+     * The release of the lease by its holder.
      *
      * @param holder The incarnation that held the lease.
      * @param previousOffset The offset of the claim that is released.
@@ -39,35 +37,29 @@
     /**
      * The intent to send an order to the platform.
      *
-     * @param orderId The identifier of the order.
      * @param holder The incarnation of the lease holder.
      * @param fencingNumber The fencing number of the lease.
-     * @param pool The name of the pool.
-     * @param desiredCount The number of backend servers that the pool shall have.
+     * @param desiredCount The number of backend servers that the pool should have.
      * @param reason The reason code.
      */
     record OrderIntent(String orderId, String holder, long fencingNumber, String pool, int desiredCount, String reason)
             implements LogRecord {}
 
     /**
-     * What became of an order.
+     * The result of an order to the platform.
      *
-     * @param orderId The identifier of the order.
-     * @param fencingNumber The fencing number it was sent with.
-     * @param result The result as stated by the platform.
+     * @param fencingNumber The fencing number that the order carried.
+     * @param result The result reported by the platform.
      */
     record OrderOutcome(String orderId, long fencingNumber, String result) implements LogRecord {}
 
     /**
      * The reservation of a call that must run at most once.
      *
-     * @param reservationId The identifier of this reservation.
-     * @param customer The name of the customer.
      * @param route The path prefix of the route.
      * @param key The digest of the idempotency key.
      * @param bodyDigest The digest of the method, path and body.
-     * @param gateway The incarnation of the gateway.
-     * @param reservedAtMillis The time of the reservation in milliseconds of the epoch.
+     * @param reservedAtMillis The time of the reservation in milliseconds since the epoch.
      */
     record Reservation(
             String reservationId,
@@ -82,12 +74,11 @@
     /**
      * The outcome of a reserved call.
      *
-     * @param reservationId The identifier of the reservation.
-     * @param disposition What became of the call.
+     * @param disposition How the call ended.
      * @param status The HTTP status of the backend server's answer; 0 for none.
      * @param contentType The content type of the answer.
-     * @param body The answer where it is small, else an empty string.
-     * @param bodyKept Whether the body is the whole answer.
+     * @param body The body of the answer if it is small enough to be stored, otherwise an empty string.
+     * @param bodyKept Whether the body is the complete answer.
      */
     record ReservationOutcome(
             String reservationId,
@@ -98,43 +89,35 @@
             boolean bodyKept)
             implements LogRecord {}
 
-    /** What became of a reserved call. */
+    /** How a reserved call ended. */
     enum Disposition {
-        /** The backend server answered. */
         ANSWERED,
         /** Nothing was sent to a backend server. */
         NOT_RUN,
-        /** A byte may have reached a backend server and no answer came. */
+        /** Part of the call may have reached a backend server, but no answer was received. */
         UNKNOWN
     }
 
-    /**
-     * The release of an idempotency key by an operator.
-     *
-     * @param reservationId The identifier of the reservation.
-     * @param operator The name of the operator.
-     */
+    /** The release of an idempotency key by an operator. */
     record ReservationRelease(String reservationId, String operator) implements LogRecord {}
 
     /**
      * The cumulative usage counted by one gateway incarnation.
      *
-     * @param gateway The incarnation of the gateway.
-     * @param sequence The sequence number, growing by one with each delta of the incarnation.
+     * @param sequence The sequence number, which grows by one with each delta of the incarnation.
      * @param totals The cumulative usage by customer and class.
      */
     record UsageDelta(String gateway, long sequence, Map<UsageKey, UsageFigures> totals) implements LogRecord {
 
-        /** Copies the map. */
         public UsageDelta {
             totals = Map.copyOf(totals);
         }
     }
 
     /**
-     * The close of a usage window; it counts what stands in the log before it.
+     * The close of a usage window. The window covers the usage recorded before this record.
      *
-     * @param windowId The number of the window, growing by one.
+     * @param windowId The number of the window, which grows by one.
      * @param holder The incarnation of the lease holder.
      * @param fencingNumber The fencing number of the lease.
      */
@@ -143,62 +126,52 @@
     /**
      * The acknowledgement of a usage report by the platform.
      *
-     * @param windowId The number of the window.
-     * @param fencingNumber The fencing number of the reporter.
+     * @param fencingNumber The fencing number of the reporting lease holder.
      */
     record WindowReported(long windowId, long fencingNumber) implements LogRecord {}
 
     /**
      * The join of a gateway.
      *
-     * @param gateway The incarnation of the gateway.
-     * @param host The host.
-     * @param dataCentre The name of its data centre.
-     * @param address The address of its peers' exchange.
+     * @param address The address on which its peers exchange reports with it.
      */
     record GatewayJoined(String gateway, String host, String dataCentre, String address) implements LogRecord {}
 
     /**
-     * The end of a gateway incarnation.
+     * The departure of a gateway incarnation.
      *
-     * @param gateway The incarnation of the gateway.
      * @param reason The reason code.
      */
     record GatewayLeft(String gateway, String reason) implements LogRecord {}
 
     /**
-     * The drain of backend servers; they get no new work.
+     * The start of a drain. The backend servers get no new work until it ends.
      *
-     * @param drainId The identifier of the drain.
      * @param fencingNumber The fencing number of the lease; 0 for an operator.
-     * @param backendServers The names of the backend servers.
      * @param reason The reason code.
      */
     record DrainStarted(String drainId, long fencingNumber, Set<String> backendServers, String reason)
             implements LogRecord {
 
-        /** Copies the set. */
         public DrainStarted {
             backendServers = Set.copyOf(backendServers);
         }
     }
 
     /**
-     * The end of a drain; the backend servers get work again.
+     * The end of a drain. The backend servers get work again.
      *
-     * @param drainId The identifier of the drain.
      * @param fencingNumber The fencing number of the lease; 0 for an operator.
      */
     record DrainEnded(String drainId, long fencingNumber) implements LogRecord {}
 
     /**
-     * A part of a snapshot of all that follows from the log.
+     * A part of a snapshot of the state derived from the log.
      *
-     * @param snapshotId The identifier of the snapshot.
-     * @param throughOffset The offset up to which the snapshot holds the log.
-     * @param index The number of the part, from 0.
+     * @param throughOffset The offset up to which the snapshot covers the log.
+     * @param index The index of the part, from 0.
      * @param count The number of parts.
-     * @param text The part of the snapshot's text.
+     * @param text The text of the part.
      */
     record SnapshotPart(String snapshotId, long throughOffset, int index, int count, String text)
             implements LogRecord {}
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/UsageFigures.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/UsageFigures.java
@@ -1,54 +1,28 @@
 package org.cranberrygauge.model.record;
 
-/**
- * Counted usage.
- *
- * @param calls The number of calls.
- * @param promptTokens The number of prompt tokens.
- * @param outputTokens The number of output tokens.
- */
+/** Counted calls and tokens. */
 public record UsageFigures(long calls, long promptTokens, long outputTokens) {
 
-    /** No usage. */
     private static final UsageFigures NONE = new UsageFigures(0, 0, 0);
 
-    /**
-     * Returns no usage.
-     *
-     * @return The zero.
-     */
+    /** Returns the value without any usage. */
     public static UsageFigures none() {
         return NONE;
     }
 
-    /**
-     * Adds usage.
-     *
-     * @param other The other usage.
-     * @return The sum.
-     */
+    /** Returns the sum of both usages. */
     public UsageFigures plus(UsageFigures other) {
         return new UsageFigures(
                 calls + other.calls, promptTokens + other.promptTokens, outputTokens + other.outputTokens);
     }
 
-    /**
-     * Subtracts usage.
-     *
-     * @param other The other usage.
-     * @return The difference.
-     */
+    /** Returns the difference of both usages. */
     public UsageFigures minus(UsageFigures other) {
         return new UsageFigures(
                 calls - other.calls, promptTokens - other.promptTokens, outputTokens - other.outputTokens);
     }
 
-    /**
-     * Takes the greater of each figure, which heals lost and repeated deltas.
-     *
-     * @param other The other usage.
-     * @return The greater figures.
-     */
+    /** Returns the maximum of each figure. Merging cumulative figures this way tolerates lost and repeated deltas. */
     public UsageFigures maximum(UsageFigures other) {
         return new UsageFigures(
                 Math.max(calls, other.calls),
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/UsageKey.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/UsageKey.java
@@ -1,21 +1,14 @@
 package org.cranberrygauge.model.record;
 
-/**
- * What usage is counted by.
- *
- * @param customer The name of the customer.
- * @param className The name of the class.
- */
+/** The customer and class that usage is counted for. */
 public record UsageKey(String customer, String className) {
 
-    /** The character between the two parts of the written form. */
+    /** Separates the parts of the text form. */
     private static final char SEPARATOR = '|';
 
     /**
-     * Reads the written form.
+     * Parses the text form CUSTOMER|CLASS.
      *
-     * @param text The text.
-     * @return The key.
      * @throws IllegalArgumentException If the separator is missing.
      */
     public static UsageKey parse(String text) {
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/package-info.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/record/package-info.java
@@ -1,2 +1,2 @@
-/** The records that the programs write to the append-only log. */
+/** The records that are written to the append-only log. */
 package org.cranberrygauge.model.record;
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/service/ServiceRoute.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/service/ServiceRoute.java
@@ -1,16 +1,15 @@
 package org.cranberrygauge.model.service;
 
 /**
- * A route to a plain service, by path prefix.
+ * A route to a plain service by path prefix.
  *
  * @param pathPrefix The prefix below /services, such as /ledger/bookings.
  * @param method The HTTP method.
- * @param service The name of the service.
- * @param className The name of the class that its calls belong to.
- * @param repetition Whether calls may be repeated.
- * @param open Whether the route is open to callers without a key.
- * @param keyRequired Whether an idempotency key is demanded.
- * @param statusPath The path of the status lookup at the service, or an empty string.
+ * @param className The name of the service class of its calls.
+ * @param repetition Whether calls may be retried after they may have been executed.
+ * @param open Whether the route may be called without a customer key.
+ * @param keyRequired Whether calls must carry an idempotency key.
+ * @param statusPath The path of the service's status lookup, or an empty string.
  */
 public record ServiceRoute(
         String pathPrefix,
--- a/cranberrygauge-model/src/main/java/org/cranberrygauge/model/service/package-info.java
+++ b/cranberrygauge-model/src/main/java/org/cranberrygauge/model/service/package-info.java
@@ -1,2 +1,2 @@
-/** Tiers, service classes and routes. */
+/** Service classes and routes. */
 package org.cranberrygauge.model.service;
