--- a/cranberrygauge-protocol/src/main/java/org/cranberrygauge/protocol/JsonCodec.java
+++ b/cranberrygauge-protocol/src/main/java/org/cranberrygauge/protocol/JsonCodec.java
@@ -16,47 +16,36 @@
 import org.cranberrygauge.model.record.UsageKey;
 
 /**
- * Writes and reads the records of the model as JSON.
+ * Serializes the records of the model as JSON.
  *
- * <p>Unknown types and fields are errors, since a reader that skipped them would judge a record differently from others.
- * Immutable and safe for use by several threads.
+ * <p>Unknown types and fields are errors: a reader that ignored them could derive a different state from a record than
+ * other readers. Immutable and safe for use by several threads.
  */
 public final class JsonCodec {
 
-    /** The field that names the type of a log record. */
+    /** The field with the type of a log record. */
     private static final String TYPE_FIELD = "type";
 
-    /** The mapper, which is safe for use by several threads once built. */
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .addModule(module())
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .build();
 
-    /** Prevents instances. */
     private JsonCodec() {}
 
-    /**
-     * Writes a value.
-     *
-     * @param value The value.
-     * @return The JSON text.
-     */
+    /** Serializes a value. */
     public static String write(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException exception) {
-            throw new IllegalStateException("records of the model can always be written", exception);
+            throw new IllegalStateException("records of the model can always be serialized", exception);
         }
     }
 
     /**
-     * Reads a value.
+     * Parses a value.
      *
-     * @param text The JSON text.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value.
-     * @throws CranberrygaugeException If the text is no such value.
+     * @throws CranberrygaugeException If the text is not a valid value of the type.
      */
     public static <T> T read(String text, Class<T> type) throws CranberrygaugeException {
         try {
@@ -69,11 +58,7 @@
         }
     }
 
-    /**
-     * Returns the module that knows the types of log records and the written form of usage keys.
-     *
-     * @return The module.
-     */
+    /** Returns the Jackson module for the types of log records and for usage keys as map keys. */
     public static Module module() {
         SimpleModule module = new SimpleModule();
         module.setMixInAnnotation(LogRecord.class, TypedRecord.class);
@@ -84,11 +69,11 @@
         return module;
     }
 
-    /** Names the type of a record in its JSON. */
+    /** Adds the type of a log record to its JSON. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = TYPE_FIELD)
     private interface TypedRecord {}
 
-    /** Reads the written form of a usage key. */
+    /** Parses usage keys that are used as map keys. */
     private static final class UsageKeyDeserializer extends KeyDeserializer {
 
         @Override
--- a/cranberrygauge-protocol/src/main/java/org/cranberrygauge/protocol/package-info.java
+++ b/cranberrygauge-protocol/src/main/java/org/cranberrygauge/protocol/package-info.java
@@ -1,2 +1,4 @@
-/** What the programs say to each other and to the platform: Thrift, codecs of log records and client interfaces. */
+/**
+ * The messages exchanged between the programs and with the platform: Thrift, log record codecs and client interfaces.
+ */
 package org.cranberrygauge.protocol;
--- a/cranberrygauge-protocol/src/main/java/org/cranberrygauge/protocol/platform/PlatformLog.java
+++ b/cranberrygauge-protocol/src/main/java/org/cranberrygauge/protocol/platform/PlatformLog.java
@@ -13,8 +13,7 @@
     /**
      * Appends an entry.
      *
-     * @param payload The entry.
-     * @return The offset, or a failure after which the entry may or may not stand in the log.
+     * @return The offset, or a failure after which the entry may or may not be in the log.
      */
     CompletionStage<Long> append(String payload);
 
@@ -22,33 +21,31 @@
      * Reads entries after an offset.
      *
      * @param afterOffset The offset after which to read; 0 for the beginning.
-     * @param limit The highest number of entries.
-     * @param waitMillis The time to wait for the first entry in milliseconds.
-     * @return The entries, or a failure.
+     * @param limit The largest number of entries.
+     * @param waitMillis How long to wait for the first entry in milliseconds.
      */
     CompletionStage<Page> read(long afterOffset, int limit, long waitMillis);
 
     /**
-     * A part of the log.
+     * A page of the log.
      *
-     * @param firstOffset The offset of the oldest entry that is still kept; 0 if the log is empty.
+     * @param firstOffset The offset of the oldest entry that is still retained; 0 if the log is empty.
      * @param endOffset The offset of the newest entry; 0 if the log is empty.
-     * @param entries The entries.
+     * @param entries The entries, in the order of their offsets.
      */
     record Page(long firstOffset, long endOffset, List<StoredEntry> entries) {
 
-        /** Copies the list. */
         public Page {
             entries = List.copyOf(entries);
         }
     }
 
     /**
-     * An entry as the log keeps it.
+     * An entry as stored in the log.
      *
-     * @param offset The offset, growing by one, from 1.
-     * @param appendedAtMillis The time of the append in milliseconds of the epoch.
-     * @param payload The entry.
+     * @param offset The offset, which increases by one for each entry, starting at 1.
+     * @param appendedAtMillis The time of the append in milliseconds since the epoch.
+     * @param payload The serialized entry.
      */
     record StoredEntry(long offset, long appendedAtMillis, String payload) {}
 }
--- a/cranberrygauge-protocol/src/main/thrift/exchange.thrift
+++ b/cranberrygauge-protocol/src/main/thrift/exchange.thrift
@@ -1,7 +1,7 @@
 // The exchange between gateways. Regenerate: thrift --gen java:private_members,generated_annotations=suppress -out src/main/java src/main/thrift/exchange.thrift
 namespace java org.cranberrygauge.protocol.generated
 
-// What one gateway says of itself, every few hundred milliseconds.
+// The periodic status report of a gateway, sent every few hundred milliseconds.
 struct GatewayReport {
   1: required string gateway
   2: required string host
@@ -16,7 +16,7 @@
   11: optional map<string, double> signals
 }
 
-// A part of the log, for a gateway that cannot read it.
+// A range of the log, for a gateway that cannot read the log itself.
 struct LogSlice {
   1: required list<LogSliceEntry> entries
   2: required i64 logOffset
@@ -30,10 +30,10 @@
 }
 
 service GatewayExchange {
-  // Takes a report and answers with the report of the called gateway.
+  // Processes the report of the calling gateway and returns that of the called gateway.
   GatewayReport exchange(1: GatewayReport report)
   // Returns the report of the called gateway, for operators.
   GatewayReport status()
-  // Returns the entries after an offset, as far as the called gateway still has them.
+  // Returns the entries after an offset that the called gateway still retains.
   LogSlice readLog(1: i64 afterOffset, 2: i32 limit)
 }
--- a/cranberrygauge-protocol/src/main/thrift/proxy.thrift
+++ b/cranberrygauge-protocol/src/main/thrift/proxy.thrift
@@ -1,4 +1,4 @@
-// What the hosts of the proxy tell each other and keep in the shared log. Regenerate: thrift --gen java:private_members,generated_annotations=suppress -out src/main/java src/main/thrift/proxy.thrift
+// The messages exchanged by the hosts of the proxy and the records of the shared log. Regenerate: thrift --gen java:private_members,generated_annotations=suppress -out src/main/java src/main/thrift/proxy.thrift
 namespace java org.cranberrygauge.protocol.generated
 
 // The requests that one host has in flight at one backend server.
@@ -9,20 +9,20 @@
   4: required i32 shortRunning
 }
 
-// How often a request has crashed the backend server that ran it, as one host saw it.
+// The number of crashes of backend servers that one host has observed while they ran a request.
 struct CrashCount {
   1: required i64 fingerprint
   2: required i32 crashes
 }
 
-// A prompt part that one host has sent to an engine, which caches it.
+// A part of a prompt that one host has sent to an engine, which caches it.
 struct PartPlaced {
   1: required string incarnation
   2: required string part
   3: required i64 tokens
 }
 
-// What one host says of itself to the others, several times a second.
+// The periodic status report of a host, sent to the others several times per second.
 struct HostReport {
   1: required string host
   2: required i64 startedAtMillis
@@ -34,15 +34,15 @@
   8: required bool readsLog
 }
 
-// Asks a host that reads the shared log for the records of a topic from an offset on.
+// Requests the records of a topic, starting at an offset, from a host that reads the shared log.
 struct TopicQuestion {
   1: required i64 number
   2: required string topic
   3: required i64 fromOffset
 }
 
-// The records that were asked for, and how long ago the read was sent after which there were no others. If not all of them
-// are in the answer, the next question asks for the rest.
+// The requested records, and the time since the read was sent that found no further records. If the answer is not
+// complete, the next question requests the remainder.
 struct TopicAnswer {
   1: required i64 number
   2: required bool known
@@ -51,19 +51,19 @@
   5: required list<binary> records
 }
 
-// The requests that began in one window at one start of a host so far.
+// The number of requests that have begun in one window so far, at one incarnation of a host.
 struct UsageCounted {
   1: required string incarnation
   2: required i64 window
   3: required map<string, i64> byCustomer
 }
 
-// Counts of several hosts and windows, as one host hands them to another and as they are kept in the shared log.
+// The counts of several hosts and windows, as relayed from one host to another and as stored in the shared log.
 struct UsageBatch {
   1: required list<UsageCounted> counts
 }
 
-// What one host sends to another in a datagram.
+// The content of a datagram from one host to another.
 union HostMessage {
   1: HostReport report
   2: TopicQuestion question
@@ -71,7 +71,7 @@
   4: UsageBatch usage
 }
 
-// Where a host takes reports.
+// The address at which a host receives reports.
 struct HostAddress {
   1: required string address
   2: required i32 port
@@ -79,7 +79,7 @@
 }
 
 
-// The figures of a window, fixed before they are reported.
+// The final figures of a window, decided before they are reported.
 struct UsageDecided {
   1: required i64 window
   2: required map<string, i64> byCustomer
