--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/Gateway.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/Gateway.java
@@ -36,8 +36,8 @@
 import org.cranberrygauge.gateway.reservation.ReservationManager;
 import org.cranberrygauge.gateway.schedule.BackendTableUpdater;
 import org.cranberrygauge.gateway.schedule.Scheduler;
+import org.cranberrygauge.gateway.usage.UsageAppender;
 import org.cranberrygauge.gateway.usage.UsageReplicator;
-import org.cranberrygauge.gateway.usage.UsageShipper;
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.record.LogRecord;
@@ -52,127 +52,95 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * One gateway, put together.
+ * A gateway with all its components.
  *
- * <p>Started once and stopped once, by one thread; its parts say themselves which threads use them.
+ * <p>Started once and stopped once, by one thread; the components document which threads may use them.
  */
 public final class Gateway {
 
-    /** The time between two looks at queue and backend servers in milliseconds. */
+    /** The interval of scheduler ticks in milliseconds. */
     private static final long TICK_MILLIS = 20;
 
-    /** The time between two reads of the platform's list, and two looks for idle connections, in milliseconds. */
-    private static final long LIST_MILLIS = 500;
+    /**
+     * The interval at which the platform's list of backend servers is read, and at which idle connections and this
+     * gateway's membership are checked, in milliseconds.
+     */
+    private static final long REFRESH_MILLIS = 500;
 
-    /** The time between two looks at running requests during a planned stop in milliseconds. */
+    /** The interval at which running requests are polled during a planned stop in milliseconds. */
     private static final long DRAIN_POLL_MILLIS = 50;
 
-    /** The share of successes that a customer may retry in a class. */
+    /** The number of retries granted to a customer in a class per successful request. */
     private static final double RETRY_SHARE = 0.1;
 
-    /** The age after which a peer is no longer in touch in milliseconds. */
+    /** The age of its last report at which a peer is no longer considered reachable in milliseconds. */
     private static final long PEER_EXPIRY_MILLIS = 2_000;
 
-    /** The number of retries that a customer can save in a class. */
+    /** The largest number of unused retries that a customer can accumulate in a class. */
     private static final int RETRY_BURST = 20;
 
-    /** The number of newest events that are kept for operators. */
-    private static final int KEPT_EVENTS = 4_096;
+    /** The number of most recent events that are kept in memory for operators. */
+    private static final int RECENT_EVENT_LIMIT = 4_096;
 
-    /** The settings. */
     private final GatewaySettings settings;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** The newest events. */
-    private final EventRingBuffer ring;
+    private final EventRingBuffer recentEvents;
 
-    /** The sources of time. */
     private final TimeSource time = TimeSource.System.INSTANCE;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The incarnation. */
     private final String incarnation;
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The client of the platform. */
     private final HttpPlatform platform;
 
-    /** The follower of the log. */
     private final LogFollower follower;
 
-    /** The appender to the log. */
     private final LogAppender appender;
 
-    /** The backend servers. */
-    private final BackendTableUpdater board;
+    private final BackendTableUpdater backends;
 
-    /** The scheduler. */
     private final Scheduler scheduler;
 
-    /** The connections of callers. */
     private final IdleConnections callerConnections;
 
-    /** The requests that wait or run. */
-    private final ActiveCalls active = new ActiveCalls();
+    private final ActiveCalls activeCalls = new ActiveCalls();
 
-    /** The usage counter. */
     private final UsageCounter usage;
 
-    /** Sends usage to the log. */
-    private final UsageShipper shipper;
+    private final UsageAppender usageAppender;
 
-    /** Gives copies of usage to a peer and holds those of peers. */
-    private final UsageReplicator usageCopies;
+    private final UsageReplicator usageReplicator;
 
-    /** Tells whether the gateway admits. */
     private final AdmissionGate gate;
 
-    /** The registry of metrics. */
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
-    /** The quarantine. */
     private final Quarantine quarantine;
 
-    /** What this gateway answers to its peers. */
     private ExchangeService service;
 
-    /** The server of the exchange. */
     private ExchangeServer exchangeServer;
 
-    /** The exchange with peers. */
     private PeerExchange peerExchange;
 
-    /** The HTTP servers. */
     private final GatewayServers servers;
 
-    /**
-     * Creates a gateway.
-     *
-     * @param settings The settings.
-     * @param events The event log.
-     */
+    /** Creates a gateway with the standard quarantine limits. */
     public Gateway(GatewaySettings settings, EventLog events) {
         this(settings, events, new Quarantine.Default(QuarantineLimits.standard()));
     }
 
-    /**
-     * Creates a gateway with a quarantine of its own, which a measurement may switch off.
-     *
-     * @param settings The settings.
-     * @param events The event log.
-     * @param quarantine The quarantine.
-     */
+    /** Creates a gateway with the given quarantine, which benchmarks may disable. */
     public Gateway(GatewaySettings settings, EventLog events, Quarantine quarantine) {
         this.settings = settings;
         this.quarantine = quarantine;
-        this.ring = new EventRingBuffer(KEPT_EVENTS, time::wallMillis);
-        this.events = new EventLog.Compound(List.of(events, ring));
+        this.recentEvents = new EventRingBuffer(RECENT_EVENT_LIMIT, time::wallMillis);
+        this.events = new EventLog.Compound(List.of(events, recentEvents));
         vertx = Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(settings.eventLoops() + 1)
                 .setWorkerPoolSize(1));
@@ -180,36 +148,38 @@
         callerConnections = new IdleConnections(time, settings.callerIdleTimeoutMillis());
         servers = new GatewayServers(vertx, settings, callerConnections, this.events);
         incarnation = Program.incarnation(settings.hostName(), time.wallMillis());
-        blackboard = new ProcessState(time.monotonicMillis());
+        processState = new ProcessState(time.monotonicMillis());
         platform = new HttpPlatform(vertx, settings.platformAddress(), settings.platformTimeoutMillis());
-        follower = new LogFollower(vertx, platform, blackboard, time, this.events);
+        follower = new LogFollower(vertx, platform, processState, time, this.events);
         appender = new LogAppender(vertx, platform, incarnation);
-        board = new BackendTableUpdater(blackboard, settings.hostName());
-        scheduler = new Scheduler(DispatchPolicy.standard(), board, time, new Random(), this::onEjection);
+        backends = new BackendTableUpdater(processState, settings.hostName());
+        scheduler = new Scheduler(DispatchPolicy.standard(), backends, time, new Random(), this::onEjection);
         usage = new UsageCounter(incarnation);
-        shipper = new UsageShipper(vertx, usage, appender);
-        usageCopies = new UsageReplicator(
+        usageAppender = new UsageAppender(vertx, usage, appender);
+        usageReplicator = new UsageReplicator(
                 usage,
                 new UsageReplication.ToOnePeer(incarnation, usage, UsageReplicator.KEYS_PER_COPY),
                 appender,
                 time,
                 this.events);
         gate = new AdmissionGate(
-                blackboard, AdmissionFreshness.Default.INSTANCE, time, settings.hostName(), incarnation);
+                processState, AdmissionFreshness.Default.INSTANCE, time, settings.hostName(), incarnation);
     }
 
-    /**
-     * Starts the gateway.
-     *
-     * @return Completes when it listens.
-     */
+    /** Starts the gateway and completes once it is listening. */
     public Future<Void> start() {
-        ReservationManager desk = new ReservationManager(
+        ReservationManager reservations = new ReservationManager(
                 vertx, appender::append, follower.state().reservations(), settings.reservationTimeoutMillis());
-        follower.addListener(desk::accept);
-        follower.addListener(this::onEffect);
+        follower.addListener(reservations::accept);
+        follower.addListener(this::onApplyResult);
         service = new ExchangeService(
-                blackboard, follower, this::ownReport, usageCopies, time, quarantine, active::reconsider);
+                processState,
+                follower,
+                this::ownReport,
+                usageReplicator,
+                time,
+                quarantine,
+                activeCalls::recheckQuarantine);
         try {
             exchangeServer = new ExchangeServer(settings.exchangeAddress(), service);
         } catch (CranberrygaugeException exception) {
@@ -220,59 +190,55 @@
                 settings.exchangeIntervalMillis(),
                 service,
                 this::ownReport,
-                usageCopies,
-                blackboard,
+                usageReplicator,
+                processState,
                 follower,
                 time);
         follower.start();
         join();
         startTimers();
-        return listen(desk);
+        return listen(reservations);
     }
 
     /**
-     * Stops the gateway: admits nothing more, lets running requests end, sends usage to the log and leaves.
+     * Stops the gateway: rejects new requests, lets running ones finish within the drain timeout, flushes usage to the
+     * log and leaves the membership.
      *
-     * @return The number of requests that were cut.
+     * @return The number of requests that were aborted.
      */
     public int stop() {
-        events.emit(new GatewayEvents.DrainBegan(incarnation, active.size()));
+        events.emit(new GatewayEvents.DrainBegan(incarnation, activeCalls.size()));
         gate.drain();
         long untilMillis = time.monotonicMillis() + settings.drainTimeoutMillis();
         boolean interrupted = false;
-        while (active.size() > 0 && time.monotonicMillis() < untilMillis && !interrupted) {
+        while (activeCalls.size() > 0 && time.monotonicMillis() < untilMillis && !interrupted) {
             interrupted = !pause(DRAIN_POLL_MILLIS);
         }
-        int cut = active.size();
-        await(shipper.flush());
+        int aborted = activeCalls.size();
+        await(usageAppender.flush());
         await(appender.append(new LogRecord.GatewayLeft(incarnation, "planned_stop")));
         follower.stop();
         peerExchange.stop();
         exchangeServer.stop();
         await(vertx.close());
-        events.emit(new GatewayEvents.DrainFinished(incarnation, cut));
-        return cut;
+        events.emit(new GatewayEvents.DrainFinished(incarnation, aborted));
+        return aborted;
     }
 
-    /**
-     * Returns the port for callers.
-     *
-     * @return The port.
-     */
+    /** Returns the port that was bound for callers. */
     public int callerPort() {
         return servers.callerPort();
     }
 
-    /**
-     * Returns the port for operations.
-     *
-     * @return The port.
-     */
+    /** Returns the port that was bound for operations. */
     public int operationsPort() {
         return servers.operationsPort();
     }
 
-    /** Joins, also again after this gateway was declared gone or replaced; a second join has no effect. */
+    /**
+     * Joins the membership, possibly again after this gateway was declared gone or replaced. Joining twice has no
+     * effect.
+     */
     private void join() {
         appender.append(new LogRecord.GatewayJoined(
                 incarnation,
@@ -281,145 +247,106 @@
                 settings.exchangeAddress().host() + ":" + exchangeServer.port()));
     }
 
-    /** Joins again if this gateway is no member and nothing that it wrote is under way. */
+    /** Joins again if this gateway is not a member and none of its records is pending. */
     private void joinIfMissing() {
-        boolean missing = !blackboard.log().members().contains(incarnation);
+        boolean missing = !processState.log().members().contains(incarnation);
         if (missing && appender.backlog() == 0 && !gate.isDraining()) {
             join();
         }
     }
 
-    /**
-     * Returns the port for peers.
-     *
-     * @return The port.
-     */
+    /** Returns the port for peers. */
     public int exchangePort() {
         return exchangeServer.port();
     }
 
-    /**
-     * Adds a peer that was not known at the start.
-     *
-     * @param peer The address of its exchange.
-     */
+    /** Adds a peer that was not known at start, given by the address of its exchange server. */
     public void addPeer(NetworkAddress peer) {
         peerExchange.add(peer);
     }
 
-    /** Starts what is done again and again. */
     private void startTimers() {
-        vertx.setPeriodic(LIST_MILLIS, timer -> joinIfMissing());
+        vertx.setPeriodic(REFRESH_MILLIS, timer -> joinIfMissing());
         vertx.setPeriodic(TICK_MILLIS, timer -> scheduler.tick());
-        vertx.setPeriodic(LIST_MILLIS, timer -> callerConnections.closeIdle());
-        vertx.setPeriodic(LIST_MILLIS, timer -> platform.backendServers().thenAccept(blackboard::publish));
+        vertx.setPeriodic(REFRESH_MILLIS, timer -> callerConnections.closeIdle());
+        vertx.setPeriodic(REFRESH_MILLIS, timer -> platform.backendServers().thenAccept(processState::publish));
         vertx.setPeriodic(settings.usageIntervalMillis(), timer -> {
-            shipper.ship();
-            follower.onContext(usageCopies::appendDue);
+            usageAppender.appendIfDue();
+            follower.onContext(usageReplicator::appendDue);
         });
     }
 
-    /**
-     * Starts to listen to callers and operations.
-     *
-     * @param desk The desk for reservations.
-     * @return Completes when it listens.
-     */
-    private Future<Void> listen(ReservationManager desk) {
-        CallDependencies tools = new CallDependencies(
+    private Future<Void> listen(ReservationManager reservations) {
+        CallDependencies dependencies = new CallDependencies(
                 scheduler,
-                board,
+                backends,
                 new BackendClient(vertx, settings.backendCredential(), settings.backendTimeoutMillis()),
-                desk,
+                reservations,
                 new RetryBudgets.PerCustomer(() -> new RetryBudget.Share(RETRY_SHARE, RETRY_BURST)),
                 new QuarantineEnforcer(
                         vertx,
                         quarantine,
-                        new CrashDetector(vertx, board, time),
+                        new CrashDetector(vertx, backends, time),
                         time,
-                        this::tellPeers,
+                        this::notifyPeers,
                         incarnation,
-                        this::gatewaysInTouch),
+                        this::reachableGateways),
                 usage,
                 new GatewayMetrics(registry),
                 events,
-                active,
+                activeCalls,
                 time,
                 incarnation);
-        CallerHandler callers = new CallerHandler(vertx, settings, tools, blackboard, gate, callerConnections);
+        CallerHandler callers = new CallerHandler(vertx, settings, dependencies, processState, gate, callerConnections);
         OperationsHandler operations =
-                new OperationsHandler(registry, gate, blackboard, ring, usageCopies, incarnation);
+                new OperationsHandler(registry, gate, processState, recentEvents, usageReplicator, incarnation);
         return servers.listen(callers, operations)
                 .onSuccess(done -> events.emit(new GatewayEvents.GatewayListening(
                         incarnation, callerPort(), operationsPort(), exchangeServer.port())));
     }
 
-    /**
-     * Acts on what became of a record.
-     *
-     * @param effect The effect.
-     */
-    private void onEffect(ApplyResult effect) {
-        if (effect instanceof ApplyResult.ChangeResult judged
-                && judged.verdict() == ConfigurationState.Verdict.ACCEPTED) {
-            scheduler.configure(blackboard.configuration().classes());
-            active.endWithdrawn(blackboard.log().keys());
+    private void onApplyResult(ApplyResult result) {
+        if (result instanceof ApplyResult.ChangeResult change
+                && change.verdict() == ConfigurationState.Verdict.ACCEPTED) {
+            scheduler.configure(processState.configuration().classes());
+            activeCalls.abortWithdrawn(processState.log().keys());
         }
     }
 
-    /**
-     * Records that a backend server was ejected or readmitted.
-     *
-     * @param ejection The change.
-     */
     private void onEjection(Ejection ejection) {
         events.emit(new GatewayEvents.BackendSpeedJudged(
                 ejection.server(), ejection.ejected() ? "ejected" : "readmitted", ejection.slowness()));
     }
 
-    /**
-     * Builds the report for peers.
-     *
-     * @return The report.
-     */
     private GatewayReport ownReport() {
         GatewayReport report = new GatewayReport(
                 incarnation,
                 settings.hostName(),
-                blackboard.log().configuration().current().version(),
-                blackboard.position().offset(),
-                time.monotonicMillis() - blackboard.position().endReadAtMillis(),
+                processState.log().configuration().current().version(),
+                processState.position().offset(),
+                time.monotonicMillis() - processState.position().endReadAtMillis(),
                 scheduler.inFlight(),
                 scheduler.waiting(),
                 gate.isDraining());
-        return report.setQuarantined(service.suspects());
+        return report.setQuarantined(service.suspectObservations());
     }
 
-    /**
-     * Lists the gateways that are in touch.
-     *
-     * @return The incarnations, this one included.
-     */
-    private List<String> gatewaysInTouch() {
+    /** Returns the incarnations of the reachable gateways, including this one. */
+    private List<String> reachableGateways() {
         long fromMillis = time.monotonicMillis() - PEER_EXPIRY_MILLIS;
         return Stream.concat(
                         Stream.of(incarnation),
-                        blackboard.peers().values().stream()
+                        processState.peers().values().stream()
                                 .filter(peer -> peer.heardAtMillis() >= fromMillis)
                                 .map(PeerReport::gateway))
                 .toList();
     }
 
-    /** Tells the peers at once what this gateway knows of suspected requests. */
-    private void tellPeers() {
+    private void notifyPeers() {
         peerExchange.exchangeNow();
     }
 
-    /**
-     * Waits for a future for a limited time.
-     *
-     * @param future The future.
-     */
+    /** Waits for a future for at most the timeout of the platform. */
     private void await(Future<?> future) {
         long untilMillis = time.monotonicMillis() + settings.platformTimeoutMillis();
         while (!future.isComplete() && time.monotonicMillis() < untilMillis) {
@@ -429,12 +356,7 @@
         }
     }
 
-    /**
-     * Pauses this thread.
-     *
-     * @param millis The time in milliseconds.
-     * @return Whether the pause was not interrupted.
-     */
+    /** Sleeps, and returns false if interrupted. */
     private static boolean pause(long millis) {
         try {
             Thread.sleep(millis);
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/GatewayEvents.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/GatewayEvents.java
@@ -2,43 +2,42 @@
 
 import org.cranberrygauge.runtime.event.Event;
 
-/** The events of a gateway. */
+/** The events emitted by a gateway. */
 public final class GatewayEvents {
 
-    /** Prevents instances. */
     private GatewayEvents() {}
 
     /**
-     * The gateway listens.
+     * The gateway has started and accepts connections on all its ports.
      *
-     * @param gateway The incarnation.
-     * @param callerPort The port for callers.
-     * @param operationsPort The port for operations.
+     * @param gateway The incarnation of the gateway.
+     * @param callerPort The port on which callers are served.
+     * @param operationsPort The port of the health, metrics and state endpoints.
      * @param exchangePort The port for peers.
      */
     public record GatewayListening(String gateway, int callerPort, int operationsPort, int exchangePort)
             implements Event {}
 
     /**
-     * The gateway could not start.
+     * The gateway failed to start and its process exits.
      *
-     * @param reason The reason.
+     * @param reason The error message.
      */
     public record GatewayStartFailed(String reason) implements Event {}
 
     /**
-     * A planned stop began.
+     * A planned stop has begun.
      *
-     * @param gateway The incarnation.
+     * @param gateway The incarnation of the gateway.
      * @param running The number of running requests.
      */
     public record DrainBegan(String gateway, int running) implements Event {}
 
     /**
-     * A planned stop ended.
+     * A planned stop has finished.
      *
-     * @param gateway The incarnation.
-     * @param running The number of requests that were cut.
+     * @param gateway The incarnation of the gateway.
+     * @param running The number of requests that were still running and were aborted.
      */
     public record DrainFinished(String gateway, int running) implements Event {}
 
@@ -46,48 +45,48 @@
      * A request was refused.
      *
      * @param requestId The identifier of the request.
-     * @param customer The customer, or an empty string.
-     * @param className The class, or an empty string.
+     * @param customer The name of the customer, or an empty string if not known.
+     * @param className The name of the service class, or an empty string if not known.
      * @param reason The reason code.
-     * @param notRun Whether nothing was run.
-     * @param retryAfterMillis The time the caller was told to wait in milliseconds.
+     * @param notRun Whether the request is guaranteed not to have run.
+     * @param retryAfterMillis The retry delay sent to the caller in milliseconds; 0 for none.
      */
     public record RequestRefused(
             String requestId, String customer, String className, String reason, boolean notRun, long retryAfterMillis)
             implements Event {}
 
     /**
-     * A request started on a backend server.
+     * An attempt was started on a backend server.
      *
      * @param requestId The identifier of the request.
      * @param attempt The identifier of the attempt.
-     * @param backendServer The backend server.
-     * @param waitedMillis The time in the queue in milliseconds.
+     * @param backendServer The name of the backend server.
+     * @param waitedMillis The time since the request arrived in milliseconds.
      */
     public record RequestStarted(String requestId, String attempt, String backendServer, long waitedMillis)
             implements Event {}
 
     /**
-     * A request ended with a whole answer.
+     * A request ended with a complete response.
      *
      * @param requestId The identifier of the request.
-     * @param customer The customer.
-     * @param className The class.
-     * @param outputTokens The number of output tokens.
-     * @param totalMillis The time since its arrival in milliseconds.
+     * @param customer The name of the customer.
+     * @param className The name of the service class.
+     * @param outputTokens The number of output tokens; 0 for a call to a plain service.
+     * @param totalMillis The time since the request arrived in milliseconds.
      */
     public record RequestSucceeded(
             String requestId, String customer, String className, long outputTokens, long totalMillis)
             implements Event {}
 
     /**
-     * An attempt failed.
+     * An attempt on a backend server failed.
      *
      * @param requestId The identifier of the request.
      * @param attempt The identifier of the attempt.
-     * @param backendServer The backend server.
-     * @param reason The reason.
-     * @param next What follows.
+     * @param backendServer The name of the backend server.
+     * @param reason What failed, for humans.
+     * @param next The code of the next step: retry, resume, give_up or quarantine.
      */
     public record AttemptFailed(String requestId, String attempt, String backendServer, String reason, String next)
             implements Event {}
@@ -97,7 +96,7 @@
      *
      * @param requestId The identifier of the request.
      * @param attempt The identifier of the attempt.
-     * @param backendServer The backend server.
+     * @param backendServer The name of the backend server.
      * @param crashed Whether the backend server crashed, which makes the request a suspect.
      */
     public record BackendServerLost(String requestId, String attempt, String backendServer, boolean crashed)
@@ -112,38 +111,38 @@
     public record RequestCancelled(String requestId, String reason) implements Event {}
 
     /**
-     * The usage that a gone gateway had not written to the log is appended from its copy.
+     * Usage that a gone gateway had not appended to the log is appended from the copy held for it.
      *
      * @param gateway The incarnation of the gone gateway.
-     * @param keys The number of keys.
+     * @param keys The number of usage keys in the copy.
      */
     public record UsageCopyAppended(String gateway, int keys) implements Event {}
 
     /**
-     * A copy of usage could not be read.
+     * A usage copy received from a peer could not be parsed.
      *
-     * @param gateway The incarnation that sent it.
-     * @param reason The reason.
+     * @param gateway The incarnation of the peer.
+     * @param reason The error message.
      */
     public record UsageCopyRefused(String gateway, String reason) implements Event {}
 
     /**
-     * A request was stopped for one of a higher tier and goes on later.
+     * A running attempt was stopped in favour of a higher tier; the request is resumed later.
      *
      * @param requestId The identifier of the request.
      * @param attempt The identifier of the stopped attempt.
-     * @param backendServer The backend server.
-     * @param deliveredTokens The tokens that the caller has.
+     * @param backendServer The name of the backend server.
+     * @param deliveredTokens The number of tokens already delivered to the caller.
      */
     public record RequestPreempted(String requestId, String attempt, String backendServer, int deliveredTokens)
             implements Event {}
 
     /**
-     * A backend server was ejected or readmitted because of its speed.
+     * A backend server was ejected because of its speed, or readmitted.
      *
-     * @param backendServer The backend server.
-     * @param verdict What was decided.
-     * @param slowness The time between its tokens relative to its peers.
+     * @param backendServer The name of the backend server.
+     * @param verdict Either ejected or readmitted.
+     * @param slowness The ratio of its token interval to the median of its peers.
      */
     public record BackendSpeedJudged(String backendServer, String verdict, double slowness) implements Event {}
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/GatewayMain.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/GatewayMain.java
@@ -5,23 +5,17 @@
 import org.cranberrygauge.runtime.lifecycle.Program;
 
 /**
- * The entry point of the gateway.
+ * The entry point of the gateway program.
  *
  * <p>Stateless.
  */
 public final class GatewayMain {
 
-    /** The name of the program. */
     private static final String NAME = "cranberrygauge-gateway";
 
-    /** Prevents instances. */
     private GatewayMain() {}
 
-    /**
-     * Runs a gateway until it is told to stop by a signal.
-     *
-     * @param arguments The command line.
-     */
+    /** Runs a gateway until the process is terminated by a signal. */
     public static void main(String[] arguments) {
         GatewaySettings settings = new GatewaySettings();
         Optional<Integer> status = Program.readSettings(NAME, settings, arguments);
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ActiveCall.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ActiveCall.java
@@ -2,23 +2,22 @@
 
 import org.cranberrygauge.model.customer.KeyDigest;
 
-/** A request that waits or runs, as seen by those that may end it. */
+/** A request that is queued or running, as seen by the components that may end it early. */
 public interface ActiveCall {
 
-    /**
-     * Returns the digest of the key it came with.
-     *
-     * @return The digest, or null on a route open to all.
-     */
+    /** Returns the digest of the API key that the request was sent with, or null on a route that needs no key. */
     KeyDigest key();
 
     /**
-     * Ends the request with a failure, from any thread.
+     * Ends the request with a failure. May be called on any thread.
      *
-     * @param failure The failure, whose claim of "not run" is corrected where something was sent.
+     * @param failure The failure to answer with; its "not run" flag is corrected if the request has already been sent.
      */
     void abort(RequestFailure failure);
 
-    /** Ends the request if it waits and is now held in quarantine, from any thread. */
-    void reconsider();
+    /**
+     * Ends the request if it is still queued and its fingerprint has been quarantined in the meantime. May be called on
+     * any thread.
+     */
+    void recheckQuarantine();
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/AttemptFailure.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/AttemptFailure.java
@@ -4,31 +4,21 @@
 import org.cranberrygauge.model.error.ErrorCode;
 
 /**
- * How an attempt at a backend server failed.
+ * How an attempt on a backend server failed.
  *
- * @param kind The kind of failure.
- * @param reason The reason for people.
+ * @param kind What failed, which decides whether the request may be retried.
+ * @param reason A short description for logs and error messages.
  */
 record AttemptFailure(Kind kind, String reason) {
 
-    /**
-     * Builds the failure of an exchange that broke.
-     *
-     * @param cause The cause.
-     * @param reason The reason for people.
-     * @return The failure.
-     */
+    /** Classifies an exchange that ended with an exception: a timeout, or a lost connection with the given reason. */
     static AttemptFailure broken(Throwable cause, String reason) {
         return cause instanceof TimeoutException
-                ? new AttemptFailure(Kind.TIMEOUT, "no byte in time")
+                ? new AttemptFailure(Kind.TIMEOUT, "no byte received within the timeout")
                 : new AttemptFailure(Kind.CONNECTION_LOST, reason);
     }
 
-    /**
-     * Returns the code that the caller sees if the failure is final.
-     *
-     * @return The code.
-     */
+    /** Returns the error code sent to the caller if this failure is final. */
     ErrorCode code() {
         return switch (kind) {
             case TIMEOUT -> ErrorCode.BACKEND_TIMEOUT;
@@ -39,15 +29,15 @@
 
     /** The kinds of failures. */
     enum Kind {
-        /** No connection was opened, so nothing was sent. */
+        /** No connection was established, so nothing was sent. */
         NOT_CONNECTED,
-        /** The connection was lost while the request ran, as when the backend server crashes. */
+        /** The connection was lost while the request was running, for example because the backend server crashed. */
         CONNECTION_LOST,
-        /** No byte came in time. */
+        /** No byte arrived within the timeout. */
         TIMEOUT,
-        /** The answer was no answer to this attempt, or none at all. */
+        /** The response was malformed, incomplete or belonged to another attempt. */
         INVALID_ANSWER,
-        /** The backend server found fault with the request itself. */
+        /** The backend server rejected the request itself, so that a retry would fail too. */
         REJECTED
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/BackendClient.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/BackendClient.java
@@ -12,69 +12,51 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * Opens requests to backend servers.
+ * Opens HTTP requests to backend servers.
  *
- * <p>Invariants: only the headers named here and the system's own credential are sent, so that no backend server sees a
- * caller's key; connections carry one exchange at a time and are closed when it is reset. Safe for use by several threads.
+ * <p>Invariants: a request carries only the headers named here and this system's own credential, so that no backend
+ * server sees a caller's key; a connection carries one exchange at a time and is closed when that exchange is reset.
+ * Safe for use by several threads.
  */
 public final class BackendClient {
 
-    /** The header with the identifier of the attempt. */
+    /** The request header with the identifier of the attempt; a response may echo it. */
     public static final String ATTEMPT_HEADER = "X-Attempt-Id";
 
-    /** The header with the label by which usage is counted. */
+    /** The request header with the label under which the backend server counts usage. */
     public static final String USAGE_LABEL_HEADER = "X-Usage-Label";
 
-    /** The number of connections to one backend server. */
-    private static final int CONNECTIONS = 256;
+    /** The largest number of pooled connections to one backend server. */
+    private static final int MAX_CONNECTIONS = 256;
 
-    /** The time after which a connect is given up in milliseconds. */
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    /** The HTTP client. */
     private final HttpClient client;
 
-    /** The credential for backend servers. */
     private final String credential;
 
-    /** The time without a byte after which a backend server is given up in milliseconds. */
     private final long idleTimeoutMillis;
 
-    /**
-     * Creates a client.
-     *
-     * @param vertx The Vert.x instance.
-     * @param credential The credential for backend servers.
-     * @param idleTimeoutMillis The time without a byte after which a backend server is given up in milliseconds.
-     */
     public BackendClient(Vertx vertx, String credential, long idleTimeoutMillis) {
         this.client = vertx.createHttpClient(
                 new HttpClientOptions()
                         .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
                         .setPipelining(false),
-                new PoolOptions().setHttp1MaxSize(CONNECTIONS));
+                new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
         this.credential = credential;
         this.idleTimeoutMillis = idleTimeoutMillis;
     }
 
-    /**
-     * Returns the time without a byte after which a backend server is given up.
-     *
-     * @return The time in milliseconds.
-     */
     long idleTimeoutMillis() {
         return idleTimeoutMillis;
     }
 
     /**
-     * Opens a request; nothing of it is sent until it is ended.
+     * Opens a request. Nothing is sent until the request is ended.
      *
-     * @param server The backend server.
-     * @param method The method.
      * @param uri The path with its query.
-     * @param attempt The identifier of the attempt.
-     * @param headers Further headers.
-     * @return The request, or a failure after which it is certain that nothing was sent.
+     * @param headers Headers to send in addition to the credential and the attempt identifier.
+     * @return The request, or a failure if no connection was established and therefore nothing was sent.
      */
     public Future<HttpClientRequest> open(
             BackendServer server, HttpMethod method, String uri, String attempt, Map<String, String> headers) {
@@ -87,15 +69,11 @@
                 .putHeader("Authorization", "Bearer " + credential)
                 .putHeader(ATTEMPT_HEADER, attempt);
         headers.forEach(options::putHeader);
-        return client.request(options).onSuccess(request -> request.exceptionHandler(BackendClient::dropped));
+        return client.request(options).onSuccess(request -> request.exceptionHandler(BackendClient::ignoreFailure));
     }
 
-    /**
-     * Takes the failure of an exchange, which is also reported by its response or by the lack of one.
-     *
-     * @param failure The failure.
-     */
-    private static void dropped(Throwable failure) {
-        // Whoever waits for the response is told there.
+    /** Ignores a failure of the exchange, since it is also reported through the response future. */
+    private static void ignoreFailure(Throwable failure) {
+        // The response future fails as well.
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallDependencies.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallDependencies.java
@@ -10,31 +10,20 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * What every request of a gateway works with.
+ * The components shared by all requests of a gateway.
  *
- * @param scheduler The scheduler.
- * @param board The backend servers.
- * @param client The client of backend servers.
- * @param desk The desk for reservations.
- * @param retries The retry budgets.
- * @param guard Applies the quarantine.
- * @param usage The usage counter.
- * @param metrics The metrics.
- * @param events The event log.
- * @param active The requests that wait or run.
- * @param time The sources of time.
  * @param gateway The incarnation of the gateway.
  */
 public record CallDependencies(
         Scheduler scheduler,
-        BackendTableUpdater board,
+        BackendTableUpdater backends,
         BackendClient client,
-        ReservationManager desk,
+        ReservationManager reservations,
         RetryBudgets retries,
-        QuarantineEnforcer guard,
+        QuarantineEnforcer quarantine,
         UsageCounter usage,
         GatewayMetrics metrics,
         EventLog events,
-        ActiveCalls active,
+        ActiveCalls activeCalls,
         TimeSource time,
         String gateway) {}
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallReservation.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallReservation.java
@@ -10,124 +10,95 @@
 import org.cranberrygauge.model.record.LogRecord.ReservationOutcome;
 
 /**
- * The reservation of one call.
+ * The reservation of one at-most-once call.
  *
- * <p>Invariants: an outcome is recorded only for a reservation that won. Used on the context of the caller's connection.
+ * <p>Invariants: an outcome is recorded only if this reservation won. Used on the context of the caller's connection.
  */
 final class CallReservation {
 
-    /** The largest answer that is kept in the log in bytes. */
-    private static final int KEPT_ANSWER_BYTES = 4_096;
+    /** The largest response body stored in the log in bytes; of larger ones only the status is stored. */
+    private static final int MAX_STORED_BODY_BYTES = 4_096;
 
-    /** The time after which a caller may ask again for a call that runs in milliseconds. */
-    private static final long RUNNING_RETRY_MILLIS = 1_000;
+    /** The Retry-After delay sent while the original call is still running, in milliseconds. */
+    private static final long IN_PROGRESS_RETRY_MILLIS = 1_000;
 
-    /** The time after which a caller may try again while the log is down in milliseconds. */
-    private static final long LOG_RETRY_MILLIS = 5_000;
+    /** The Retry-After delay sent while the log is unavailable, in milliseconds. */
+    private static final long LOG_UNAVAILABLE_RETRY_MILLIS = 5_000;
 
-    /** What every request works with. */
-    private final CallDependencies tools;
+    private final CallDependencies dependencies;
 
-    /** The identifier. */
     private final String id;
 
-    /** Whether it won. */
-    private boolean held;
+    /** Whether the reservation won. */
+    private boolean won;
 
-    /**
-     * Creates a reservation that is not made yet.
-     *
-     * @param tools What every request works with.
-     * @param id The identifier.
-     */
-    CallReservation(CallDependencies tools, String id) {
-        this.tools = tools;
+    CallReservation(CallDependencies dependencies, String id) {
+        this.dependencies = dependencies;
         this.id = id;
     }
 
     /**
-     * Makes the reservation.
+     * Appends the reservation and waits for the decision.
      *
-     * @param caller Whose call it is.
-     * @param request The call.
-     * @return The verdict, or a failure after which the call must not be dispatched.
+     * @return The decision, or a failure after which the call must not be dispatched.
      */
-    Future<ReservationDecision> make(Caller caller, ServiceRequest request) {
-        return tools.desk()
+    Future<ReservationDecision> reserve(Caller caller, ServiceRequest request) {
+        return dependencies
+                .reservations()
                 .reserve(new Reservation(
                         id,
                         caller.customer().name(),
                         request.route().pathPrefix(),
                         request.keyDigest(),
                         request.digest(),
-                        tools.gateway(),
-                        tools.time().wallMillis()));
+                        dependencies.gateway(),
+                        dependencies.time().wallMillis()));
     }
 
-    /** Notes that the reservation won. */
-    void won() {
-        held = true;
+    void markWon() {
+        won = true;
     }
 
-    /**
-     * Records the answer.
-     *
-     * @param status The status.
-     * @param contentType The content type.
-     * @param body The body.
-     */
-    void answered(int status, String contentType, Buffer body) {
-        boolean kept = body.length() <= KEPT_ANSWER_BYTES;
+    /** Records the response, without its body if that is too large to be stored. */
+    void recordResponse(int status, String contentType, Buffer body) {
+        boolean stored = body.length() <= MAX_STORED_BODY_BYTES;
         record(new ReservationOutcome(
-                id, Disposition.ANSWERED, status, contentType, kept ? body.toString() : "", kept));
+                id, Disposition.ANSWERED, status, contentType, stored ? body.toString() : "", stored));
     }
 
     /**
-     * Records that there is no answer.
+     * Records that the call got no response.
      *
-     * @param sent Whether a byte may have reached a backend server.
+     * @param sent Whether any byte may have reached a backend server.
      */
-    void unanswered(boolean sent) {
+    void recordNoResponse(boolean sent) {
         record(new ReservationOutcome(id, sent ? Disposition.UNKNOWN : Disposition.NOT_RUN, 0, "", "", false));
     }
 
-    /**
-     * Tells how a call is refused whose reservation did not win and that has no answer on record.
-     *
-     * @param verdict The verdict.
-     * @return The refusal.
-     */
-    static RequestFailure refusal(ReservationDecision verdict) {
-        if (verdict == ReservationDecision.OtherBody.INSTANCE) {
+    /** Returns the failure for a call whose reservation did not win and for which no response is recorded. */
+    static RequestFailure refusal(ReservationDecision decision) {
+        if (decision == ReservationDecision.OtherBody.INSTANCE) {
             return RequestFailure.notRun(ErrorCode.KEY_REUSED, "the idempotency key was used with another body");
         }
-        if (verdict == ReservationDecision.Running.INSTANCE) {
-            return RequestFailure.mayHaveRun(ErrorCode.IN_PROGRESS, "the call with this idempotency key still runs")
-                    .withRetryAfter(RUNNING_RETRY_MILLIS);
+        if (decision == ReservationDecision.Running.INSTANCE) {
+            return RequestFailure.mayHaveRun(
+                            ErrorCode.IN_PROGRESS, "the call with this idempotency key is still running")
+                    .withRetryAfter(IN_PROGRESS_RETRY_MILLIS);
         }
         return RequestFailure.mayHaveRun(
                 ErrorCode.OUTCOME_UNKNOWN, "the outcome of this call is unknown; it is not run again");
     }
 
-    /**
-     * Tells how a call is refused whose reservation is not in the log.
-     *
-     * @param failure The failure.
-     * @return The refusal.
-     */
+    /** Returns the failure for a call whose reservation could not be written to the log. */
     static RequestFailure refusal(Throwable failure) {
         ErrorCode code = failure instanceof CranberrygaugeException known ? known.code() : ErrorCode.LOG_UNAVAILABLE;
-        return RequestFailure.notRun(code, "the call could not be reserved").withRetryAfter(LOG_RETRY_MILLIS);
+        return RequestFailure.notRun(code, "the call could not be reserved")
+                .withRetryAfter(LOG_UNAVAILABLE_RETRY_MILLIS);
     }
 
-    /**
-     * Records an outcome if the reservation won.
-     *
-     * @param outcome The outcome.
-     */
     private void record(ReservationOutcome outcome) {
-        if (held) {
-            tools.desk().record(outcome);
+        if (won) {
+            dependencies.reservations().record(outcome);
         }
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallerReply.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CallerReply.java
@@ -9,56 +9,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The answer to one caller.
+ * The response to one caller.
  *
- * <p>Invariants: at most one final answer is sent; what arrives after it is dropped. Used on the context of the caller's
- * connection.
+ * <p>Invariants: at most one final response is sent, and everything after it is dropped. Used on the context of the
+ * caller's connection.
  */
 public final class CallerReply {
 
-    /** The header with the identifier of the request. */
+    /** The response header with the identifier of the request. */
     public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-    /** The time for which what a caller still sends is read and dropped, so that it gets its answer, in milliseconds. */
-    private static final long LINGER_MILLIS = 1_000;
+    /**
+     * How long the rest of an unread request is read and discarded before the connection is closed, in milliseconds. A
+     * connection closed earlier may be reset before the caller has read the response.
+     */
+    private static final long LINGER_TIMEOUT_MILLIS = 1_000;
 
-    /** The time for which a caller may read nothing of a stream in milliseconds. */
-    private static final long STALL_MILLIS = 30_000;
+    /** How long a caller may leave a full write queue unread before its connection is closed, in milliseconds. */
+    private static final long WRITE_STALL_TIMEOUT_MILLIS = 30_000;
 
-    /** The connection. */
     private final HttpConnection connection;
 
-    /** The status of a refusal for lack of capacity. */
     private static final int TOO_MANY_REQUESTS = 429;
 
-    /** The lowest status of errors that are not the caller's. */
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** The response. */
     private final HttpServerResponse response;
 
-    /** The context of the connection. */
     private final Context context;
 
-    /** The identifier of the request. */
     private final String requestId;
 
-    /** Whether the final answer was sent or the caller is gone. */
+    /** Whether the final response was sent or the caller disconnected. */
     private boolean closed;
 
-    /** Whether the caller reads more slowly than the stream comes. */
+    /** Whether the write queue is full because the caller reads more slowly than the stream is produced. */
     private boolean stalled;
 
-    /** Whether the connection is closed after the answer. */
     private boolean closesConnection;
 
-    /**
-     * Creates a reply.
-     *
-     * @param request The request.
-     * @param context The context of the connection.
-     * @param requestId The identifier of the request.
-     */
     public CallerReply(HttpServerRequest request, Context context, String requestId) {
         this.connection = request.connection();
         this.response = request.response();
@@ -67,39 +56,21 @@
         response.putHeader(REQUEST_ID_HEADER, requestId);
     }
 
-    /**
-     * Returns the context of the connection.
-     *
-     * @return The context.
-     */
     public Context context() {
         return context;
     }
 
-    /**
-     * Returns the identifier of the request.
-     *
-     * @return The identifier.
-     */
     public String requestId() {
         return requestId;
     }
 
-    /**
-     * Tells whether the final answer was sent or the caller is gone.
-     *
-     * @return Whether nothing more can be sent.
-     */
+    /** Returns whether the final response was sent or the caller disconnected, after which nothing more is sent. */
     public boolean isClosed() {
         return closed;
     }
 
-    /**
-     * Runs an action when the caller goes away before its answer.
-     *
-     * @param action The action.
-     */
-    public void onVanished(Runnable action) {
+    /** Runs an action if the caller disconnects before the final response. */
+    public void onDisconnect(Runnable action) {
         response.closeHandler(gone -> {
             if (!closed) {
                 closed = true;
@@ -108,19 +79,13 @@
         });
     }
 
-    /** Closes the connection after the answer, since the rest of the request is not read. */
-    public void closeConnectionAfterwards() {
+    /** Closes the connection after the response, because the rest of the request is not read. */
+    public void closeConnectionAfterResponse() {
         closesConnection = true;
         response.putHeader("Connection", "close");
     }
 
-    /**
-     * Sends a whole answer.
-     *
-     * @param status The status.
-     * @param contentType The content type.
-     * @param body The body.
-     */
+    /** Sends a complete response. */
     public void answer(int status, String contentType, Buffer body) {
         if (closed) {
             return;
@@ -128,16 +93,12 @@
         closed = true;
         response.setStatusCode(status).putHeader("Content-Type", contentType).end(body);
         if (closesConnection) {
-            context.owner().setTimer(LINGER_MILLIS, timer -> connection.close());
+            context.owner().setTimer(LINGER_TIMEOUT_MILLIS, timer -> connection.close());
         }
     }
 
-    /**
-     * Sends a part of a stream.
-     *
-     * @param part The part.
-     */
-    public void stream(Buffer part) {
+    /** Sends one part of an event stream. A caller that does not read for too long is disconnected. */
+    public void writeChunk(Buffer part) {
         if (closed) {
             return;
         }
@@ -149,7 +110,7 @@
         response.write(part);
         if (response.writeQueueFull() && !stalled) {
             stalled = true;
-            long timer = context.owner().setTimer(STALL_MILLIS, fired -> connection.close());
+            long timer = context.owner().setTimer(WRITE_STALL_TIMEOUT_MILLIS, fired -> connection.close());
             response.drainHandler(drained -> {
                 stalled = false;
                 context.owner().cancelTimer(timer);
@@ -157,7 +118,7 @@
         }
     }
 
-    /** Ends a stream. */
+    /** Ends a stream begun with {@link #writeChunk}. */
     public void endStream() {
         if (!closed) {
             closed = true;
@@ -165,12 +126,7 @@
         }
     }
 
-    /**
-     * Returns the type of an error as callers of chat completions know it.
-     *
-     * @param status The HTTP status.
-     * @return The type.
-     */
+    /** Returns the error type that clients of the chat completions API expect for an HTTP status. */
     private static String errorType(int status) {
         if (status == TOO_MANY_REQUESTS) {
             return "rate_limit_error";
@@ -178,11 +134,7 @@
         return status < FIRST_SERVER_ERROR ? "invalid_request_error" : "server_error";
     }
 
-    /**
-     * Sends a failure, as an event if a stream has begun.
-     *
-     * @param failure The failure.
-     */
+    /** Sends a failure, as an error event if the stream has already begun. */
     public void fail(RequestFailure failure) {
         if (closed) {
             return;
@@ -195,11 +147,12 @@
                 .put("request_id", requestId);
         Buffer body = new JsonObject().put("error", error).toBuffer();
         if (response.headWritten()) {
-            stream(Buffer.buffer("event: error\ndata: ").appendBuffer(body).appendString("\n\n"));
+            writeChunk(Buffer.buffer("event: error\ndata: ").appendBuffer(body).appendString("\n\n"));
             endStream();
             return;
         }
         if (failure.retryAfterMillis() > 0) {
+            // Rounded up, so that the caller does not retry too early.
             long seconds = TimeUnit.MILLISECONDS.toSeconds(failure.retryAfterMillis() + 999);
             response.putHeader("Retry-After", String.valueOf(seconds));
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CanonicalJson.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CanonicalJson.java
@@ -7,25 +7,18 @@
 import java.util.TreeSet;
 
 /**
- * Writes JSON in a form that depends on neither the order of fields nor white space.
+ * Writes JSON in a canonical form that is independent of field order and white space.
  *
  * <p>Stateless and safe for use by several threads.
  */
 final class CanonicalJson {
 
-    /** Prevents instances. */
     private CanonicalJson() {}
 
-    /**
-     * Writes an object.
-     *
-     * @param json The object.
-     * @param left The names of its fields that are left out.
-     * @return The text.
-     */
-    static String write(JsonObject json, Set<String> left) {
+    /** Writes an object, without the top-level fields named in {@code left}. */
+    static String write(JsonObject json, Set<String> excluded) {
         Set<String> names = new TreeSet<>(json.fieldNames());
-        names.removeAll(left);
+        names.removeAll(excluded);
         StringBuilder text = new StringBuilder("{");
         for (String name : names) {
             text.append(Json.encode(name)).append(':');
@@ -35,12 +28,6 @@
         return text.append('}').toString();
     }
 
-    /**
-     * Appends a value.
-     *
-     * @param text The text.
-     * @param value The value.
-     */
     private static void append(StringBuilder text, Object value) {
         if (value instanceof JsonObject object) {
             text.append(write(object, Set.of()));
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ChatCall.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ChatCall.java
@@ -18,90 +18,68 @@
 import org.cranberrygauge.model.record.UsageKey;
 
 /**
- * One completion on its way.
+ * One completion request, from admission to its last byte.
  *
- * <p>Invariants: the caller gets each token once and in order, also when the stream moves to another backend server; it
- * gets exactly one end; the slot of each attempt is freed exactly once. Used on the context of the caller's connection,
- * but for the methods that say otherwise.
+ * <p>Invariants: the caller receives each token once and in order, also when the stream is resumed on another backend
+ * server; the response ends exactly once; the slot of each attempt is released exactly once. Used on the context of the
+ * caller's connection, except for the methods that state otherwise.
  */
 public final class ChatCall implements ActiveCall, ChatAttempt.Listener {
 
-    /** The number of attempts after which a request is given up. */
-    private static final int ATTEMPTS = 4;
+    /** The number of attempts, not counting preempted ones, after which the request fails. */
+    private static final int MAX_ATTEMPTS = 4;
 
-    /** What every request works with. */
-    private final CallDependencies tools;
+    private final CallDependencies dependencies;
 
-    /** Whose request it is. */
     private final Caller caller;
 
-    /** Writes the events. */
     private final CallTelemetry events;
 
-    /** The body. */
     private final ChatBody body;
 
-    /** The answer to the caller. */
     private final CallerReply reply;
 
-    /** The number of the request in this gateway. */
-    private final long number;
+    private final long requestNumber;
 
-    /** The monotonic time of the arrival. */
     private final long arrivedAtMillis;
 
-    /** What admission knows. */
     private final QueuedRequest queued;
 
-    /** What recognises the request when it is sent again. */
     private final RequestFingerprint fingerprint;
 
-    /** The answer as gathered for callers that asked for no stream. */
-    private final WholeAnswer whole = new WholeAnswer();
+    private final CompletionAggregator aggregator = new CompletionAggregator();
 
-    /** The tokens that the caller got. */
     private final TokenMeter meter = new TokenMeter();
 
-    /** The attempt that runs, or null. */
+    /** The running attempt, or null. */
     private ChatAttempt attempt;
 
-    /** The number of attempts so far. */
     private int attempts;
 
-    /** The number of attempts that were stopped for a higher tier. */
+    /** The number of attempts that were stopped in favour of a higher tier. */
     private int preemptions;
 
-    /** The number of prompt tokens as the backend server counts them; -1 while unknown. */
+    /** The number of prompt tokens as counted by the backend server; -1 while unknown. */
     private int promptTokens = -1;
 
-    /** The monotonic time of the start of the attempt. */
     private long attemptAtMillis;
 
-    /** Whether the answer can go on at another backend server, which it can't after a part of a tool call. */
+    /** Whether another backend server can resume the answer, which is impossible after part of a tool call. */
     private boolean resumable = true;
 
-    /** Whether the request has ended. */
     private boolean ended;
 
-    /**
-     * Creates a request.
-     *
-     * @param tools What every request works with.
-     * @param caller Whose request it is.
-     * @param body The body.
-     * @param reply The answer to the caller.
-     * @param number The number of the request in this gateway.
-     */
-    public ChatCall(CallDependencies tools, Caller caller, ChatBody body, CallerReply reply, long number) {
-        this.tools = tools;
+    public ChatCall(
+            CallDependencies dependencies, Caller caller, ChatBody body, CallerReply reply, long requestNumber) {
+        this.dependencies = dependencies;
         this.caller = caller;
-        this.events = new CallTelemetry(tools, caller, reply.requestId());
+        this.events = new CallTelemetry(dependencies, caller, reply.requestId());
         this.body = body;
         this.reply = reply;
-        this.number = number;
-        this.arrivedAtMillis = tools.time().monotonicMillis();
+        this.requestNumber = requestNumber;
+        this.arrivedAtMillis = dependencies.time().monotonicMillis();
         this.queued = new QueuedRequest(
-                number,
+                requestNumber,
                 caller.customer().name(),
                 caller.customer().weight(),
                 caller.serviceClass().name(),
@@ -112,10 +90,10 @@
         this.fingerprint = RequestFingerprint.of(caller.customer().name(), body.path(), body.canonical());
     }
 
-    /** Submits the request. */
+    /** Registers the request and submits it to the scheduler. */
     public void begin() {
-        tools.active().add(this);
-        reply.onVanished(() -> cancel("caller_gone"));
+        dependencies.activeCalls().add(this);
+        reply.onDisconnect(() -> cancel("caller_gone"));
         submit(queued);
     }
 
@@ -134,152 +112,136 @@
     }
 
     @Override
-    public void reconsider() {
+    public void recheckQuarantine() {
         reply.context().runOnContext(ignored -> {
             if (!ended && attempt == null) {
-                tools.guard().refusal(fingerprint).ifPresent(this::refuse);
+                dependencies.quarantine().refusal(fingerprint).ifPresent(this::refuse);
             }
         });
     }
 
     @Override
-    public void onFrame(StreamEvent.Frame frame) {
-        if (frame.promptTokens() >= 0) {
-            promptTokens = frame.promptTokens();
+    public void onChunk(StreamEvent.Chunk chunk) {
+        if (chunk.promptTokens() >= 0) {
+            promptTokens = chunk.promptTokens();
         }
-        if (frame.content() != null) {
-            observeToken();
+        if (chunk.content() != null) {
+            recordToken();
         }
-        resumable &= frame.toolCalls().isEmpty();
+        resumable &= chunk.toolCalls().isEmpty();
         if (body.stream()) {
-            deliver(frame.json());
+            sendChunk(chunk.json());
         } else {
-            whole.add(frame);
+            aggregator.add(chunk);
         }
     }
 
     @Override
     public void onDone() {
         release();
-        tools.guard().completed(fingerprint);
-        retries().succeeded();
+        dependencies.quarantine().completed(fingerprint);
+        retryBudget().succeeded();
         if (body.stream()) {
-            reply.stream(Buffer.buffer("data: [DONE]\n\n"));
+            reply.writeChunk(Buffer.buffer("data: [DONE]\n\n"));
             reply.endStream();
         } else {
-            reply.answer(200, "application/json", whole.build(body.isChat(), promptTokens, meter.delivered()));
+            reply.answer(200, "application/json", aggregator.build(body.isChat(), promptTokens, meter.delivered()));
         }
         finish();
-        events.succeeded(meter.delivered(), tools.time().monotonicMillis() - arrivedAtMillis);
+        events.succeeded(meter.delivered(), dependencies.time().monotonicMillis() - arrivedAtMillis);
     }
 
     @Override
     public void onFailed(AttemptFailure failure) {
-        ChatAttempt failed = attempt;
+        ChatAttempt failedAttempt = attempt;
         release();
         if (failure.kind() == AttemptFailure.Kind.REJECTED) {
-            giveUp(failed, failure);
+            giveUp(failedAttempt, failure);
             return;
         }
-        tools.board().failed(tools.time().monotonicMillis(), failed.server());
+        dependencies.backends().recordFailure(dependencies.time().monotonicMillis(), failedAttempt.server());
         if (failure.kind() != AttemptFailure.Kind.CONNECTION_LOST) {
-            goOn(failed, failure);
+            retryOrGiveUp(failedAttempt, failure);
             return;
         }
-        tools.guard()
-                .lost(fingerprint, failed.server(), attemptAtMillis)
-                .onSuccess(crashed -> events.lost(failed.attempt(), failed.server(), crashed))
-                .onComplete(judged -> reply.context().runOnContext(ignored -> goOn(failed, failure)));
+        dependencies
+                .quarantine()
+                .connectionLost(fingerprint, failedAttempt.server(), attemptAtMillis)
+                .onSuccess(crashed -> events.connectionLost(failedAttempt.attempt(), failedAttempt.server(), crashed))
+                .onComplete(
+                        crashResult -> reply.context().runOnContext(ignored -> retryOrGiveUp(failedAttempt, failure)));
     }
 
     /**
-     * Tries again after a failed attempt, or gives up.
-     *
-     * @param failed The attempt.
-     * @param failure How it failed.
+     * Submits the request again after a failed attempt, or fails it if it is quarantined, cannot be resumed, or has
+     * exhausted its attempts or its retry budget.
      */
-    private void goOn(ChatAttempt failed, AttemptFailure failure) {
+    private void retryOrGiveUp(ChatAttempt failedAttempt, AttemptFailure failure) {
         if (ended) {
             return;
         }
-        Optional<RequestFailure> quarantined = tools.guard().refusal(fingerprint);
+        Optional<RequestFailure> quarantined = dependencies.quarantine().refusal(fingerprint);
         if (quarantined.isPresent()) {
-            events.attemptFailed(failed.attempt(), failed.server(), failure, "quarantine");
+            events.attemptFailed(failedAttempt.attempt(), failedAttempt.server(), failure, "quarantine");
             refuse(quarantined.get());
             return;
         }
-        if (attempts - preemptions >= ATTEMPTS
+        if (attempts - preemptions >= MAX_ATTEMPTS
                 || !(resumable || meter.delivered() == 0)
-                || !retries().tryRetry()) {
-            giveUp(failed, failure);
+                || !retryBudget().tryRetry()) {
+            giveUp(failedAttempt, failure);
             return;
         }
-        events.attemptFailed(failed.attempt(), failed.server(), failure, meter.delivered() > 0 ? "resume" : "retry");
+        events.attemptFailed(
+                failedAttempt.attempt(), failedAttempt.server(), failure, meter.delivered() > 0 ? "resume" : "retry");
         submit(queued.withDeadline(
-                tools.time().monotonicMillis() + caller.serviceClass().longestWaitMillis()));
+                dependencies.time().monotonicMillis() + caller.serviceClass().longestWaitMillis()));
     }
 
-    /**
-     * Ends the request after a failed attempt.
-     *
-     * @param failed The attempt.
-     * @param failure How it failed.
-     */
-    private void giveUp(ChatAttempt failed, AttemptFailure failure) {
-        events.attemptFailed(failed.attempt(), failed.server(), failure, "give_up");
+    private void giveUp(ChatAttempt failedAttempt, AttemptFailure failure) {
+        events.attemptFailed(failedAttempt.attempt(), failedAttempt.server(), failure, "give_up");
         finish();
         reply.fail(RequestFailure.mayHaveRun(failure.code(), "the backend server failed: " + failure.reason()));
     }
 
-    /**
-     * Waits for a backend server.
-     *
-     * @param request What admission knows.
-     */
+    /** Queues the request for a backend server, unless it is quarantined. */
     private void submit(QueuedRequest request) {
-        Optional<RequestFailure> quarantined = tools.guard().refusal(fingerprint);
+        Optional<RequestFailure> quarantined = dependencies.quarantine().refusal(fingerprint);
         if (quarantined.isPresent()) {
             refuse(quarantined.get());
             return;
         }
-        long submittedAtMillis = tools.time().monotonicMillis();
-        tools.scheduler()
+        long submittedAtMillis = dependencies.time().monotonicMillis();
+        dependencies
+                .scheduler()
                 .submit(new PendingCall(
                         request,
                         body.routing(),
-                        tools.guard().eligibility(fingerprint, submittedAtMillis),
-                        this::chosen,
-                        refusal -> reply.context().runOnContext(ignored -> refused(refusal)),
-                        resumable ? () -> reply.context().runOnContext(ignored -> preempted()) : null));
+                        dependencies.quarantine().eligibility(fingerprint, submittedAtMillis),
+                        this::onBackendChosen,
+                        refusal -> reply.context().runOnContext(ignored -> onRefused(refusal)),
+                        resumable ? () -> reply.context().runOnContext(ignored -> onPreempted()) : null));
     }
 
-    /**
-     * Takes the backend server that was chosen, on the thread that chose.
-     *
-     * @param server The backend server.
-     */
-    private void chosen(BackendServer server) {
-        tools.guard().started(run(attempts + 1), server);
+    /** Called on the thread of the scheduler once a backend server was chosen. */
+    private void onBackendChosen(BackendServer server) {
+        dependencies.quarantine().started(runId(attempts + 1), server);
         reply.context().runOnContext(ignored -> start(server));
     }
 
-    /**
-     * Starts an attempt.
-     *
-     * @param server The backend server.
-     */
     private void start(BackendServer server) {
         if (ended) {
-            tools.guard().ended(run(attempts + 1));
-            tools.scheduler().ended(number, server);
-            tools.scheduler().account(queued, 0);
+            dependencies.quarantine().ended(runId(attempts + 1));
+            dependencies.scheduler().attemptEnded(requestNumber, server);
+            dependencies.scheduler().recordCost(queued, 0);
             return;
         }
         attempts++;
-        attemptAtMillis = tools.time().monotonicMillis();
+        attemptAtMillis = dependencies.time().monotonicMillis();
         long waitedMillis = attemptAtMillis - arrivedAtMillis;
         if (attempts == 1) {
-            tools.metrics()
+            dependencies
+                    .metrics()
                     .queueWait(caller.customer().name(), caller.serviceClass().name(), waitedMillis);
         }
         meter.beginAttempt();
@@ -287,7 +249,7 @@
                 reply.requestId() + "-" + attempts,
                 server,
                 this,
-                tools,
+                dependencies,
                 reply.context().owner());
         events.started(attempt.attempt(), server, waitedMillis);
         UsageKey label = usageKey();
@@ -298,139 +260,109 @@
                 String.valueOf(caller.serviceClass().tier()),
                 BackendClient.USAGE_LABEL_HEADER,
                 label.toString());
-        attempt.start(tools.client(), body.path(), headers, body.forBackend(meter.delivered()));
+        attempt.start(dependencies.client(), body.path(), headers, body.forBackend(meter.delivered()));
     }
 
-    /**
-     * Refuses the request as the queue decided.
-     *
-     * @param refusal The refusal.
-     */
-    private void refused(Refusal refusal) {
+    private void onRefused(Refusal refusal) {
         refuse(new RequestFailure(refusal.code(), "no capacity for this class now", true, refusal.retryAfterMillis()));
     }
 
-    /** Stops the attempt for a request of a higher tier and submits the rest again. */
-    private void preempted() {
+    /** Stops the running attempt in favour of a higher tier and queues the remainder again. */
+    private void onPreempted() {
         if (ended || attempt == null || !resumable) {
             return;
         }
         ChatAttempt stopped = attempt;
         stopped.cancel();
         release();
-        tools.events()
+        dependencies
+                .events()
                 .emit(new GatewayEvents.RequestPreempted(
                         reply.requestId(), stopped.attempt(), stopped.server().name(), meter.delivered()));
         preemptions++;
         submit(queued);
     }
 
-    /**
-     * Refuses the request.
-     *
-     * @param failure The failure, whose claim of "not run" is corrected where something was sent.
-     */
+    /** Ends the request with a failure, whose "not run" flag is cleared if an attempt has been started. */
     private void refuse(RequestFailure failure) {
         if (ended) {
             return;
         }
-        tools.scheduler().cancel(number);
+        dependencies.scheduler().cancel(requestNumber);
         finish();
-        RequestFailure truthful = failure.withNotRun(failure.notRun() && attempts == 0);
-        events.refused(truthful);
-        reply.fail(truthful);
+        RequestFailure corrected = failure.withNotRun(failure.notRun() && attempts == 0);
+        events.refused(corrected);
+        reply.fail(corrected);
     }
 
-    /**
-     * Cancels the request.
-     *
-     * @param reason The reason code.
-     */
     private void cancel(String reason) {
         if (ended) {
             return;
         }
-        tools.scheduler().cancel(number);
+        dependencies.scheduler().cancel(requestNumber);
         if (attempt != null) {
             attempt.cancel();
             release();
         }
         finish();
-        tools.events().emit(new GatewayEvents.RequestCancelled(reply.requestId(), reason));
+        dependencies.events().emit(new GatewayEvents.RequestCancelled(reply.requestId(), reason));
     }
 
-    /** Frees the slot of the attempt. */
+    /** Releases the slot of the attempt and reports the measured token interval. */
     private void release() {
-        tools.guard().ended(run(attempts));
-        meter.meanIntervalMillis().ifPresent(millis -> tools.board().measured(attempt.server(), millis));
-        tools.scheduler().ended(number, attempt.server());
+        dependencies.quarantine().ended(runId(attempts));
+        meter.meanIntervalMillis()
+                .ifPresent(millis -> dependencies.backends().recordTokenInterval(attempt.server(), millis));
+        dependencies.scheduler().attemptEnded(requestNumber, attempt.server());
         attempt = null;
     }
 
-    /**
-     * Sends a frame to a caller that asked for a stream, with the usage only if it asked for that.
-     *
-     * @param frame The frame.
-     */
-    private void deliver(JsonObject frame) {
-        if (!body.wantsUsage() && frame.containsKey("usage")) {
-            frame.remove("usage");
-            if (frame.getJsonArray("choices").isEmpty()) {
+    /** Sends a chunk to a streaming caller. The usage is removed unless the caller asked for it. */
+    private void sendChunk(JsonObject chunk) {
+        if (!body.wantsUsage() && chunk.containsKey("usage")) {
+            chunk.remove("usage");
+            if (chunk.getJsonArray("choices").isEmpty()) {
                 return;
             }
         }
-        reply.stream(Buffer.buffer("data: ").appendBuffer(frame.toBuffer()).appendString("\n\n"));
+        reply.writeChunk(Buffer.buffer("data: ").appendBuffer(chunk.toBuffer()).appendString("\n\n"));
     }
 
-    /** Ends the request and counts its usage. */
+    /** Ends the request and accounts for its usage. */
     private void finish() {
         ended = true;
-        tools.active().remove(this);
+        dependencies.activeCalls().remove(this);
         if (attempts == 0) {
             return;
         }
         int prompt = promptTokens >= 0 ? promptTokens : body.promptTokens();
-        tools.usage().count(usageKey(), new UsageFigures(1, prompt, meter.delivered()));
-        tools.scheduler().account(queued, prompt + (long) meter.delivered());
+        dependencies.usage().count(usageKey(), new UsageFigures(1, prompt, meter.delivered()));
+        dependencies.scheduler().recordCost(queued, prompt + (long) meter.delivered());
     }
 
-    /** Observes a token. */
-    private void observeToken() {
+    private void recordToken() {
         String customer = caller.customer().name();
         String className = caller.serviceClass().name();
         OptionalDouble gapMillis = meter.count(System.nanoTime());
         if (gapMillis.isPresent()) {
-            tools.metrics().betweenTokens(customer, className, gapMillis.getAsDouble());
+            dependencies.metrics().betweenTokens(customer, className, gapMillis.getAsDouble());
             return;
         }
-        tools.metrics().firstToken(customer, className, tools.time().monotonicMillis() - arrivedAtMillis);
+        dependencies
+                .metrics()
+                .firstToken(customer, className, dependencies.time().monotonicMillis() - arrivedAtMillis);
     }
 
-    /**
-     * Returns the identifier of a run.
-     *
-     * @param attemptNumber The number of the attempt.
-     * @return The identifier.
-     */
-    private RunId run(int attemptNumber) {
+    private RunId runId(int attemptNumber) {
         return new RunId(fingerprint, reply.requestId() + "-" + attemptNumber);
     }
 
-    /**
-     * Returns the retry budget.
-     *
-     * @return The budget.
-     */
-    private RetryBudget retries() {
-        return tools.retries()
+    private RetryBudget retryBudget() {
+        return dependencies
+                .retries()
                 .of(caller.customer().name(), caller.serviceClass().name());
     }
 
-    /**
-     * Returns what usage is counted by.
-     *
-     * @return The key.
-     */
     private UsageKey usageKey() {
         return new UsageKey(caller.customer().name(), caller.serviceClass().name());
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CompletionAggregator.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CompletionAggregator.java
@@ -7,49 +7,37 @@
 import java.util.TreeMap;
 
 /**
- * Gathers the frames of a stream into one answer, for callers that asked for no stream.
+ * Aggregates the chunks of a stream into one response for callers that did not ask for a stream.
  *
  * <p>Used by one thread at a time.
  */
-final class WholeAnswer {
+final class CompletionAggregator {
 
-    /** The text. */
     private final StringBuilder text = new StringBuilder();
 
-    /** The tool calls by their index. */
     private final Map<Integer, JsonObject> toolCalls = new TreeMap<>();
 
-    /** The last frame. */
     private JsonObject last = new JsonObject();
 
-    /** Why the answer ended. */
     private String finishReason = "stop";
 
-    /**
-     * Adds a frame.
-     *
-     * @param frame The frame.
-     */
-    void add(StreamEvent.Frame frame) {
-        last = frame.json();
-        if (frame.content() != null) {
-            text.append(frame.content());
+    void add(StreamEvent.Chunk chunk) {
+        last = chunk.json();
+        if (chunk.content() != null) {
+            text.append(chunk.content());
         }
-        if (frame.finishReason() != null) {
-            finishReason = frame.finishReason();
+        if (chunk.finishReason() != null) {
+            finishReason = chunk.finishReason();
         }
-        for (int index = 0; index < frame.toolCalls().size(); index++) {
-            addToolCall(frame.toolCalls().getJsonObject(index));
+        for (int index = 0; index < chunk.toolCalls().size(); index++) {
+            addToolCall(chunk.toolCalls().getJsonObject(index));
         }
     }
 
     /**
-     * Builds the answer.
+     * Builds the response body.
      *
-     * @param chat Whether it answers a chat, else a plain completion.
-     * @param promptTokens The number of prompt tokens.
-     * @param outputTokens The number of output tokens.
-     * @return The answer.
+     * @param chat Whether to build the response of a chat completion rather than that of a plain completion.
      */
     Buffer build(boolean chat, int promptTokens, int outputTokens) {
         JsonObject choice = new JsonObject().put("index", 0).put("finish_reason", finishReason);
@@ -69,11 +57,6 @@
                 .toBuffer();
     }
 
-    /**
-     * Builds the message of a chat.
-     *
-     * @return The message.
-     */
     private JsonObject message() {
         JsonObject message = new JsonObject().put("role", "assistant");
         if (toolCalls.isEmpty()) {
@@ -85,11 +68,7 @@
                 .put("tool_calls", calls);
     }
 
-    /**
-     * Adds a part of a tool call.
-     *
-     * @param part The part.
-     */
+    /** Appends a fragment to the tool call with the same index. */
     private void addToolCall(JsonObject part) {
         JsonObject call = toolCalls.computeIfAbsent(
                 part.getInteger("index", 0), index -> new JsonObject().put("type", "function"));
@@ -97,10 +76,10 @@
             call.put("id", part.getString("id"));
         }
         JsonObject function = part.getJsonObject("function", new JsonObject());
-        JsonObject known = call.getJsonObject("function", new JsonObject());
+        JsonObject merged = call.getJsonObject("function", new JsonObject());
         for (String name : function.fieldNames()) {
-            known.put(name, known.getString(name, "") + function.getString(name));
+            merged.put(name, merged.getString(name, "") + function.getString(name));
         }
-        call.put("function", known);
+        call.put("function", merged);
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CrashDetector.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/CrashDetector.java
@@ -12,59 +12,48 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Tells a crashed backend server from a broken connection: a crash is a lost connection after which a new one is refused.
+ * Distinguishes a crashed backend server from a broken connection: a server has crashed if it refuses a new connection
+ * after one was lost.
  *
- * <p>Invariants: a backend server that refuses connections gets no work until it takes one again; the calls that lose it
- * together share one probe. Safe for use by several threads.
+ * <p>Invariants: a backend server that refuses connections receives no requests until it accepts one again; calls that
+ * lose their connections to it at the same time share one probe. Safe for use by several threads.
  */
 public final class CrashDetector {
 
-    /** The time after which a probe is given up in milliseconds. */
+    /** The connect timeout of a probe in milliseconds. */
     private static final int PROBE_TIMEOUT_MILLIS = 300;
 
-    /** The time between two probes of a crashed backend server in milliseconds. */
+    /** The interval at which crashed backend servers are probed in milliseconds. */
     private static final long PROBE_INTERVAL_MILLIS = 200;
 
-    /** The client. */
     private final NetClient client;
 
-    /** The backend servers. */
-    private final BackendTableUpdater board;
+    private final BackendTableUpdater backends;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The probes under way, by name of the backend server. */
+    /** The probes in progress by backend server name. */
     private final Map<String, Future<Boolean>> probes = new ConcurrentHashMap<>();
 
-    /** The crashed backend servers, by name. */
     private final Map<String, BackendServer> crashed = new ConcurrentHashMap<>();
 
-    /**
-     * Creates a detector.
-     *
-     * @param vertx The Vert.x instance.
-     * @param board The backend servers.
-     * @param time The sources of time.
-     */
-    public CrashDetector(Vertx vertx, BackendTableUpdater board, TimeSource time) {
+    public CrashDetector(Vertx vertx, BackendTableUpdater backends, TimeSource time) {
         this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(PROBE_TIMEOUT_MILLIS));
-        this.board = board;
+        this.backends = backends;
         this.time = time;
         vertx.setPeriodic(PROBE_INTERVAL_MILLIS, timer -> probeCrashed());
     }
 
     /**
-     * Judges a backend server to which a connection was lost.
+     * Probes a backend server to which a connection was lost.
      *
-     * @param server The backend server.
-     * @return Whether it crashed.
+     * @return Whether it has crashed.
      */
-    public Future<Boolean> judge(BackendServer server) {
+    public Future<Boolean> probe(BackendServer server) {
         Promise<Boolean> promise = Promise.promise();
-        Future<Boolean> running = probes.putIfAbsent(server.name(), promise.future());
-        if (running != null) {
-            return running;
+        Future<Boolean> inProgress = probes.putIfAbsent(server.name(), promise.future());
+        if (inProgress != null) {
+            return inProgress;
         }
         client.connect(server.address().port(), server.address().host()).onComplete(result -> {
             if (result.succeeded()) {
@@ -72,7 +61,7 @@
                 result.result().close();
             } else {
                 crashed.put(server.name(), server);
-                board.failed(time.monotonicMillis(), server);
+                backends.recordFailure(time.monotonicMillis(), server);
             }
             probes.remove(server.name());
             promise.complete(result.failed());
@@ -80,9 +69,9 @@
         return promise.future();
     }
 
-    /** Probes the crashed backend servers, and forgets those that are no longer known. */
+    /** Probes the crashed backend servers and removes those that are no longer configured or listed. */
     private void probeCrashed() {
-        crashed.values().removeIf(server -> !board.isKnown(server));
-        crashed.values().forEach(this::judge);
+        crashed.values().removeIf(server -> !backends.isKnown(server));
+        crashed.values().forEach(this::probe);
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/InactivityTimer.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/InactivityTimer.java
@@ -4,66 +4,51 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Runs an action once nothing was heard for some time.
+ * Runs an action after a period of inactivity.
  *
- * <p>Used on one context; hearing something costs no timer.
+ * <p>Used on one context. Recording activity does not reset the underlying timer, so that it is cheap to do for each
+ * event.
  */
 final class InactivityTimer {
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The time of silence after which the action runs in milliseconds. */
-    private final long limitMillis;
+    /** The period of inactivity after which the action runs in milliseconds. */
+    private final long timeoutMillis;
 
-    /** The action. */
     private final Runnable action;
 
-    /** The monotonic time at which something was heard last in milliseconds. */
-    private long heardAtMillis;
+    private long lastActivityAtMillis;
 
-    /** The timer that is set. */
     private long timer;
 
-    /**
-     * Creates a timer that is not started.
-     *
-     * @param vertx The Vert.x instance.
-     * @param time The sources of time.
-     * @param limitMillis The time of silence after which the action runs in milliseconds.
-     * @param action The action.
-     */
-    InactivityTimer(Vertx vertx, TimeSource time, long limitMillis, Runnable action) {
+    InactivityTimer(Vertx vertx, TimeSource time, long timeoutMillis, Runnable action) {
         this.vertx = vertx;
         this.time = time;
-        this.limitMillis = limitMillis;
+        this.timeoutMillis = timeoutMillis;
         this.action = action;
     }
 
-    /** Starts the timer. */
     void start() {
-        heard();
-        timer = vertx.setTimer(limitMillis, fired -> check());
+        recordActivity();
+        timer = vertx.setTimer(timeoutMillis, fired -> check());
     }
 
-    /** Notes that something was heard. */
-    void heard() {
-        heardAtMillis = time.monotonicMillis();
+    void recordActivity() {
+        lastActivityAtMillis = time.monotonicMillis();
     }
 
-    /** Stops the timer. */
     void stop() {
         vertx.cancelTimer(timer);
     }
 
-    /** Runs the action, or waits for the rest of the time. */
+    /** Runs the action, or waits for the remainder if there was activity since the timer was set. */
     private void check() {
-        long leftMillis = heardAtMillis + limitMillis - time.monotonicMillis();
-        if (leftMillis > 0) {
-            timer = vertx.setTimer(leftMillis, fired -> check());
+        long remainingMillis = lastActivityAtMillis + timeoutMillis - time.monotonicMillis();
+        if (remainingMillis > 0) {
+            timer = vertx.setTimer(remainingMillis, fired -> check());
             return;
         }
         action.run();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/QuarantineEnforcer.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/QuarantineEnforcer.java
@@ -19,52 +19,35 @@
 /**
  * Applies the quarantine to the requests of a gateway.
  *
- * <p>Invariants: a request whose backend server was lost is tried again only after it is known whether the server
- * crashed; peers are told of a crash before the request is tried again. Safe for use by several threads.
+ * <p>Invariants: a request that lost its backend server is retried only once it is known whether the server crashed;
+ * peers are notified of a crash before the request is retried. Safe for use by several threads.
  */
 public final class QuarantineEnforcer {
 
-    /** The time in which peers tell of their requests on the same backend server in milliseconds. */
-    private static final long SETTLE_MILLIS = 200;
+    /** How long peers are given to report their requests on the same backend server in milliseconds. */
+    private static final long PEER_REPORT_WAIT_MILLIS = 200;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The quarantine. */
     private final Quarantine quarantine;
 
-    /** Tells crashes from broken connections. */
     private final CrashDetector detector;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** Tells the peers at once. */
-    private final Runnable tellPeers;
+    private final Runnable notifyPeers;
 
-    /** The incarnation of this gateway. */
     private final String gateway;
 
-    /** Gives the incarnations of the gateways that are in touch. */
+    /** Supplies the incarnations of the reachable gateways, this one included. */
     private final Supplier<Collection<String>> gateways;
 
-    /**
-     * Creates a guard.
-     *
-     * @param vertx The Vert.x instance.
-     * @param quarantine The quarantine.
-     * @param detector Tells crashes from broken connections.
-     * @param time The sources of time.
-     * @param tellPeers Tells the peers at once.
-     * @param gateway The incarnation of this gateway.
-     * @param gateways Gives the incarnations of the gateways that are in touch, this one included.
-     */
     public QuarantineEnforcer(
             Vertx vertx,
             Quarantine quarantine,
             CrashDetector detector,
             TimeSource time,
-            Runnable tellPeers,
+            Runnable notifyPeers,
             String gateway,
             Supplier<Collection<String>> gateways) {
         this.gateway = gateway;
@@ -73,32 +56,28 @@
         this.quarantine = quarantine;
         this.detector = detector;
         this.time = time;
-        this.tellPeers = tellPeers;
+        this.notifyPeers = notifyPeers;
     }
 
     /**
-     * Tells whether a request is to be refused.
-     *
-     * @param fingerprint The request.
-     * @return The failure, whose claim of "not run" holds for a request that was not sent, or nothing.
+     * Returns the failure of a quarantined request, or nothing if the request is not quarantined. The caller must clear
+     * its "not run" flag if the request has been sent.
      */
     Optional<RequestFailure> refusal(RequestFingerprint fingerprint) {
         QuarantineStatus standing = quarantine.standing(time.monotonicMillis(), fingerprint);
-        if (standing instanceof QuarantineStatus.Quarantined held) {
+        if (standing instanceof QuarantineStatus.Quarantined quarantined) {
             return Optional.of(RequestFailure.notRun(
                             ErrorCode.QUARANTINED,
-                            "backend servers crashed while they ran this request; it is held in quarantine")
-                    .withRetryAfter(held.remainingMillis()));
+                            "backend servers crashed while running this request; it is quarantined")
+                    .withRetryAfter(quarantined.remainingMillis()));
         }
         return Optional.empty();
     }
 
     /**
-     * Tells on which backend servers a request may start.
+     * Returns the rule by which a request may start on a backend server, which follows the standing of the request.
      *
-     * @param fingerprint The request.
-     * @param submittedAtMillis The monotonic time since which the request has waited in milliseconds.
-     * @return The eligibility, which follows the standing of the request.
+     * @param submittedAtMillis The monotonic time at which the request was queued in milliseconds.
      */
     Eligibility eligibility(RequestFingerprint fingerprint, long submittedAtMillis) {
         return new Eligibility() {
@@ -117,66 +96,47 @@
         };
     }
 
-    /**
-     * Notes that a run started, and tells the peers at once if it is that of a suspect.
-     *
-     * @param run The run.
-     * @param server The backend server.
-     */
+    /** Records the start of a run if the request is a suspect, and notifies the peers at once. */
     void started(RunId run, BackendServer server) {
         long nowMillis = time.monotonicMillis();
         if (quarantine.standing(nowMillis, run.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
             quarantine.started(nowMillis, run, server.name());
-            tellPeers.run();
+            notifyPeers.run();
         }
     }
 
-    /**
-     * Notes that a run ended, however it did.
-     *
-     * @param run The run.
-     */
+    /** Records the end of a run, successful or not. */
     void ended(RunId run) {
         quarantine.ended(run);
     }
 
-    /**
-     * Notes that a request was completed.
-     *
-     * @param fingerprint The request.
-     */
     void completed(RequestFingerprint fingerprint) {
         quarantine.completed(time.monotonicMillis(), fingerprint);
     }
 
     /**
-     * Finds out whether a backend server crashed during a run, and notes it.
+     * Determines whether a backend server crashed during a run, and records the crash.
      *
-     * @param fingerprint The request.
      * @param server The backend server to which the connection was lost.
      * @param startedAtMillis The monotonic time at which the run started in milliseconds.
-     * @return Whether it crashed, once it is also known what peers had running there if the request is to be held.
+     * @return Whether it crashed. If the request is now quarantined, the future completes only after peers had time to
+     *     report what they had running on that server.
      */
-    Future<Boolean> lost(RequestFingerprint fingerprint, BackendServer server, long startedAtMillis) {
+    Future<Boolean> connectionLost(RequestFingerprint fingerprint, BackendServer server, long startedAtMillis) {
         long lostAtMillis = time.monotonicMillis();
-        return detector.judge(server).compose(crashed -> {
+        return detector.probe(server).compose(crashed -> {
             if (!crashed) {
                 return Future.succeededFuture(false);
             }
             quarantine.crashed(lostAtMillis, fingerprint, server.name(), startedAtMillis);
-            tellPeers.run();
-            return refusal(fingerprint).isPresent() ? settled() : Future.succeededFuture(true);
+            notifyPeers.run();
+            return refusal(fingerprint).isPresent() ? awaitPeerReports() : Future.succeededFuture(true);
         });
     }
 
-    /**
-     * Waits until peers had the time to tell.
-     *
-     * @return Completes then.
-     */
-    private Future<Boolean> settled() {
+    private Future<Boolean> awaitPeerReports() {
         Promise<Boolean> promise = Promise.promise();
-        vertx.setTimer(SETTLE_MILLIS, timer -> promise.complete(true));
+        vertx.setTimer(PEER_REPORT_WAIT_MILLIS, timer -> promise.complete(true));
         return promise.future();
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ServiceCall.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ServiceCall.java
@@ -23,100 +23,84 @@
 import org.cranberrygauge.model.service.Repetition;
 
 /**
- * One call to a plain service on its way.
+ * One call to a plain service, from admission to the end of its response.
  *
- * <p>Invariants: a call on an at-most-once route is sent at most once; before a byte was sent each refusal says "not run",
- * and after it none does; a reserved call is sent only after its reservation won; a call on an at-most-once route that was
- * sent goes on after its caller is answered or gone, so that its outcome is recorded. Used on the context of the caller's
- * connection, but for the methods that say otherwise.
+ * <p>Invariants: a call on an at-most-once route is sent at most once; a failure states "not run" exactly if no byte
+ * was sent; a reserved call is sent only after its reservation won; a call on an at-most-once route continues after its
+ * caller was answered or disconnected, so that its outcome is recorded. Used on the context of the caller's connection,
+ * except for the methods that state otherwise.
  */
 public final class ServiceCall implements ActiveCall {
 
-    /** The number of attempts after which an idempotent call is given up. */
-    private static final int ATTEMPTS = 3;
+    /** The number of attempts after which an idempotent call fails. */
+    private static final int MAX_ATTEMPTS = 3;
 
-    /** What every request works with. */
-    private final CallDependencies tools;
+    private final CallDependencies dependencies;
 
-    /** Whose request it is. */
     private final Caller caller;
 
-    /** Writes the events. */
     private final CallTelemetry events;
 
-    /** The call. */
     private final ServiceRequest request;
 
-    /** The answer to the caller. */
     private final CallerReply reply;
 
-    /** The number of the request in this gateway. */
-    private final long number;
+    private final long requestNumber;
 
-    /** The monotonic time of the arrival. */
     private final long arrivedAtMillis;
 
-    /** The backend server that the call runs on, or null. */
+    /** The backend server that the call is running on, or null. */
     private BackendServer server;
 
     /** The request to the backend server, or null. */
-    private HttpClientRequest sending;
+    private HttpClientRequest backendRequest;
 
-    /** The number of attempts so far. */
     private int attempts;
 
-    /** What recognises the call when it is sent again. */
     private final RequestFingerprint fingerprint;
 
-    /** The monotonic time of the start of the attempt. */
     private long attemptAtMillis;
 
-    /** Whether the caller was answered while the call goes on. */
+    /** Whether the caller was answered while the call is still running. */
     private boolean detached;
 
-    /** The reservation. */
     private final CallReservation reservation;
 
-    /** Whether a byte may have reached a backend server. */
+    /** Whether any byte may have reached a backend server. */
     private boolean sent;
 
-    /** Whether the call has ended. */
     private boolean ended;
 
-    /**
-     * Creates a call.
-     *
-     * @param tools What every request works with.
-     * @param caller Whose request it is.
-     * @param request The call.
-     * @param reply The answer to the caller.
-     * @param number The number of the request in this gateway.
-     */
-    public ServiceCall(CallDependencies tools, Caller caller, ServiceRequest request, CallerReply reply, long number) {
-        this.tools = tools;
+    public ServiceCall(
+            CallDependencies dependencies,
+            Caller caller,
+            ServiceRequest request,
+            CallerReply reply,
+            long requestNumber) {
+        this.dependencies = dependencies;
         this.caller = caller;
-        this.events = new CallTelemetry(tools, caller, reply.requestId());
+        this.events = new CallTelemetry(dependencies, caller, reply.requestId());
         this.request = request;
         this.reply = reply;
-        this.number = number;
-        this.arrivedAtMillis = tools.time().monotonicMillis();
-        this.reservation = new CallReservation(tools, reply.requestId());
+        this.requestNumber = requestNumber;
+        this.arrivedAtMillis = dependencies.time().monotonicMillis();
+        this.reservation = new CallReservation(dependencies, reply.requestId());
         this.fingerprint =
                 RequestFingerprint.of(caller.customer().name(), request.route().pathPrefix(), request.digest());
     }
 
-    /** Reserves the call where needed and submits it. */
+    /** Registers the call, reserves it if it needs a reservation, and submits it to the scheduler. */
     public void begin() {
-        tools.active().add(this);
-        reply.onVanished(this::callerGone);
+        dependencies.activeCalls().add(this);
+        reply.onDisconnect(this::onCallerDisconnected);
         if (!isAtMostOnce() || request.idempotencyKey() == null) {
             submit();
             return;
         }
         reservation
-                .make(caller, request)
+                .reserve(caller, request)
                 .onComplete(
-                        verdict -> reply.context().runOnContext(ignored -> judged(verdict)),
+                        decision -> reply.context().runOnContext(ignored -> onDecision(decision)),
                         failure -> reply.context().runOnContext(ignored -> end(CallReservation.refusal(failure))));
     }
 
@@ -128,29 +112,25 @@
     @Override
     public void abort(RequestFailure failure) {
         reply.context().runOnContext(ignored -> {
-            RequestFailure truthful = failure.withNotRun(!sent);
+            RequestFailure corrected = failure.withNotRun(!sent);
             if (sent && isAtMostOnce()) {
-                detach(truthful);
+                detach(corrected);
             } else {
-                end(truthful);
+                end(corrected);
             }
         });
     }
 
     @Override
-    public void reconsider() {
+    public void recheckQuarantine() {
         reply.context().runOnContext(ignored -> {
             if (!ended && server == null && !sent) {
-                tools.guard().refusal(fingerprint).ifPresent(this::end);
+                dependencies.quarantine().refusal(fingerprint).ifPresent(this::end);
             }
         });
     }
 
-    /**
-     * Answers the caller now and lets the call go on.
-     *
-     * @param failure The answer.
-     */
+    /** Answers the caller while the call continues in the background. */
     private void detach(RequestFailure failure) {
         if (ended || detached) {
             return;
@@ -160,32 +140,23 @@
         reply.fail(failure);
     }
 
-    /**
-     * Acts on the verdict of the reservation.
-     *
-     * @param verdict The verdict.
-     */
-    private void judged(ReservationDecision verdict) {
-        if (verdict instanceof ReservationDecision.Answered answered) {
-            repeatAnswer(answered.outcome());
-        } else if (verdict != ReservationDecision.Won.INSTANCE) {
-            end(CallReservation.refusal(verdict));
+    private void onDecision(ReservationDecision decision) {
+        if (decision instanceof ReservationDecision.Answered answered) {
+            replayResponse(answered.outcome());
+        } else if (decision != ReservationDecision.Won.INSTANCE) {
+            end(CallReservation.refusal(decision));
         } else {
-            reservation.won();
+            reservation.markWon();
             if (ended) {
-                reservation.unanswered(false);
+                reservation.recordNoResponse(false);
             } else {
                 submit();
             }
         }
     }
 
-    /**
-     * Answers with the recorded outcome of an earlier call.
-     *
-     * @param outcome The outcome.
-     */
-    private void repeatAnswer(ReservationOutcome outcome) {
+    /** Replays the recorded response of the original call. */
+    private void replayResponse(ReservationOutcome outcome) {
         if (!outcome.bodyKept()) {
             end(RequestFailure.mayHaveRun(
                     ErrorCode.ANSWER_NOT_KEPT,
@@ -193,20 +164,20 @@
             return;
         }
         ended = true;
-        tools.active().remove(this);
+        dependencies.activeCalls().remove(this);
         reply.answer(outcome.status(), outcome.contentType(), Buffer.buffer(outcome.body()));
     }
 
-    /** Waits for a backend server, unless the call is held in quarantine. */
+    /** Queues the call for a backend server, unless it is quarantined. */
     private void submit() {
-        Optional<RequestFailure> quarantined = tools.guard().refusal(fingerprint);
+        Optional<RequestFailure> quarantined = dependencies.quarantine().refusal(fingerprint);
         if (quarantined.isPresent()) {
             end(quarantined.get().withNotRun(!sent));
             return;
         }
-        long nowMillis = tools.time().monotonicMillis();
+        long nowMillis = dependencies.time().monotonicMillis();
         QueuedRequest queued = new QueuedRequest(
-                number,
+                requestNumber,
                 caller.customer().name(),
                 caller.customer().weight(),
                 caller.serviceClass().name(),
@@ -214,130 +185,106 @@
                 1,
                 arrivedAtMillis,
                 nowMillis + caller.serviceClass().longestWaitMillis());
-        tools.scheduler()
+        dependencies
+                .scheduler()
                 .submit(new PendingCall(
                         queued,
                         new RoutingRequest(request.route().service(), "", 0),
-                        tools.guard().eligibility(fingerprint, nowMillis),
-                        this::chosen,
-                        refusal -> reply.context().runOnContext(ignored -> refused(refusal))));
+                        dependencies.quarantine().eligibility(fingerprint, nowMillis),
+                        this::onBackendChosen,
+                        refusal -> reply.context().runOnContext(ignored -> onRefused(refusal))));
     }
 
-    /**
-     * Takes the backend server that was chosen, on the thread that chose.
-     *
-     * @param chosen The backend server.
-     */
-    private void chosen(BackendServer chosen) {
-        tools.guard().started(run(attempts + 1), chosen);
+    /** Called on the thread of the scheduler once a backend server was chosen. */
+    private void onBackendChosen(BackendServer chosen) {
+        dependencies.quarantine().started(runId(attempts + 1), chosen);
         reply.context().runOnContext(ignored -> start(chosen));
     }
 
-    /**
-     * Starts an attempt.
-     *
-     * @param chosen The backend server.
-     */
     private void start(BackendServer chosen) {
         if (ended) {
-            tools.guard().ended(run(attempts + 1));
-            tools.scheduler().ended(number, chosen);
+            dependencies.quarantine().ended(runId(attempts + 1));
+            dependencies.scheduler().attemptEnded(requestNumber, chosen);
             return;
         }
         attempts++;
-        attemptAtMillis = tools.time().monotonicMillis();
+        attemptAtMillis = dependencies.time().monotonicMillis();
         server = chosen;
         String attempt = reply.requestId() + "-" + attempts;
-        events.started(attempt, chosen, tools.time().monotonicMillis() - arrivedAtMillis);
-        tools.client()
+        events.started(attempt, chosen, dependencies.time().monotonicMillis() - arrivedAtMillis);
+        dependencies
+                .client()
                 .open(chosen, HttpMethod.valueOf(request.method()), request.uri(), attempt, request.headers())
                 .onSuccess(this::send)
-                .onFailure(failure -> failed(new AttemptFailure(AttemptFailure.Kind.NOT_CONNECTED, "no connection")));
+                .onFailure(failure ->
+                        onAttemptFailed(new AttemptFailure(AttemptFailure.Kind.NOT_CONNECTED, "no connection")));
     }
 
-    /**
-     * Sends the call.
-     *
-     * @param opened The open request.
-     */
     private void send(HttpClientRequest opened) {
         if (ended) {
             opened.reset();
             return;
         }
-        sending = opened;
+        backendRequest = opened;
         sent = true;
         opened.send(request.body())
-                .compose(response -> response.body().compose(body -> received(response, body)))
-                .onFailure(failure -> failed(AttemptFailure.broken(failure, "connection lost")));
+                .compose(response -> response.body().compose(body -> onResponse(response, body)))
+                .onFailure(failure -> onAttemptFailed(AttemptFailure.broken(failure, "connection lost")));
     }
 
-    /**
-     * Takes the answer.
-     *
-     * @param response The response.
-     * @param body The body.
-     * @return Nothing.
-     */
-    private Future<Void> received(HttpClientResponse response, Buffer body) {
+    private Future<Void> onResponse(HttpClientResponse response, Buffer body) {
         if (ended) {
             return Future.succeededFuture();
         }
         String echoed = response.getHeader(BackendClient.ATTEMPT_HEADER);
         if (echoed != null && !echoed.equals(reply.requestId() + "-" + attempts)) {
-            failed(new AttemptFailure(AttemptFailure.Kind.INVALID_ANSWER, "answer to another attempt"));
+            onAttemptFailed(new AttemptFailure(AttemptFailure.Kind.INVALID_ANSWER, "response to another attempt"));
             return Future.succeededFuture();
         }
         String contentType = response.getHeader("Content-Type");
         String type = contentType == null ? "application/octet-stream" : contentType;
-        reservation.answered(response.statusCode(), type, body);
+        reservation.recordResponse(response.statusCode(), type, body);
         release();
         close();
-        tools.guard().completed(fingerprint);
-        retries().succeeded();
+        dependencies.quarantine().completed(fingerprint);
+        retryBudget().succeeded();
         reply.answer(response.statusCode(), type, body);
-        events.succeeded(0, tools.time().monotonicMillis() - arrivedAtMillis);
+        events.succeeded(0, dependencies.time().monotonicMillis() - arrivedAtMillis);
         return Future.succeededFuture();
     }
 
-    /**
-     * Acts on a failed attempt.
-     *
-     * @param failure How it failed.
-     */
-    private void failed(AttemptFailure failure) {
+    private void onAttemptFailed(AttemptFailure failure) {
         if (ended) {
             return;
         }
-        if (sending != null) {
-            sending.reset();
+        if (backendRequest != null) {
+            backendRequest.reset();
         }
         BackendServer failedServer = server;
-        tools.board().failed(tools.time().monotonicMillis(), failedServer);
+        dependencies.backends().recordFailure(dependencies.time().monotonicMillis(), failedServer);
         release();
         if (failure.kind() != AttemptFailure.Kind.CONNECTION_LOST) {
-            goOn(failedServer, failure);
+            retryOrFail(failedServer, failure);
             return;
         }
-        tools.guard()
-                .lost(fingerprint, failedServer, attemptAtMillis)
-                .onSuccess(crashed -> events.lost(reply.requestId() + "-" + attempts, failedServer, crashed))
-                .onComplete(judged -> reply.context().runOnContext(ignored -> goOn(failedServer, failure)));
+        dependencies
+                .quarantine()
+                .connectionLost(fingerprint, failedServer, attemptAtMillis)
+                .onSuccess(crashed -> events.connectionLost(reply.requestId() + "-" + attempts, failedServer, crashed))
+                .onComplete(crashResult -> reply.context().runOnContext(ignored -> retryOrFail(failedServer, failure)));
     }
 
     /**
-     * Tries again after a failed attempt, or gives up.
-     *
-     * @param failedServer The backend server.
-     * @param failure How it failed.
+     * Submits the call again after a failed attempt, or fails it if it is quarantined, must not be repeated, or has
+     * exhausted its attempts or its retry budget.
      */
-    private void goOn(BackendServer failedServer, AttemptFailure failure) {
+    private void retryOrFail(BackendServer failedServer, AttemptFailure failure) {
         if (ended) {
             return;
         }
-        Optional<RequestFailure> quarantined = tools.guard().refusal(fingerprint);
+        Optional<RequestFailure> quarantined = dependencies.quarantine().refusal(fingerprint);
         boolean mayRepeat = (!isAtMostOnce() || !sent) && quarantined.isEmpty() && !reply.isClosed();
-        boolean again = mayRepeat && attempts < ATTEMPTS && retries().tryRetry();
+        boolean again = mayRepeat && attempts < MAX_ATTEMPTS && retryBudget().tryRetry();
         String next = again ? "retry" : "give_up";
         events.attemptFailed(reply.requestId() + "-" + attempts, failedServer, failure, next);
         if (again) {
@@ -352,42 +299,34 @@
         }
     }
 
-    /**
-     * Refuses the call.
-     *
-     * @param refusal The refusal.
-     */
-    private void refused(Refusal refusal) {
+    private void onRefused(Refusal refusal) {
         if (!ended) {
             end(new RequestFailure(
                     refusal.code(), "no capacity for this class now", !sent, refusal.retryAfterMillis()));
         }
     }
 
-    /** Acts on a caller that went away: what waits is dropped, what was sent goes on so that its outcome is recorded. */
-    private void callerGone() {
+    /**
+     * Drops a queued call. A call on an at-most-once route that was sent continues, so that its outcome is recorded.
+     */
+    private void onCallerDisconnected() {
         if (sent && isAtMostOnce()) {
             return;
         }
-        end(RequestFailure.notRun(ErrorCode.INTERNAL, "the caller is gone").withNotRun(!sent));
+        end(RequestFailure.notRun(ErrorCode.INTERNAL, "the caller disconnected").withNotRun(!sent));
     }
 
-    /**
-     * Ends the call with a failure.
-     *
-     * @param failure The failure.
-     */
     private void end(RequestFailure failure) {
         if (ended) {
             return;
         }
-        tools.scheduler().cancel(number);
-        reservation.unanswered(sent);
+        dependencies.scheduler().cancel(requestNumber);
+        reservation.recordNoResponse(sent);
         if (server != null) {
             release();
         }
-        if (sending != null) {
-            sending.reset();
+        if (backendRequest != null) {
+            backendRequest.reset();
         }
         close();
         if (!detached) {
@@ -396,49 +335,33 @@
         reply.fail(failure);
     }
 
-    /** Marks the call as ended and counts its usage. */
+    /** Marks the call as ended and accounts for its usage. */
     private void close() {
         ended = true;
-        tools.active().remove(this);
+        dependencies.activeCalls().remove(this);
         if (sent) {
             UsageKey usageKey =
                     new UsageKey(caller.customer().name(), caller.serviceClass().name());
-            tools.usage().count(usageKey, new UsageFigures(1, 0, 0));
+            dependencies.usage().count(usageKey, new UsageFigures(1, 0, 0));
         }
     }
 
-    /** Frees the slot of the attempt. */
     private void release() {
-        tools.guard().ended(run(attempts));
-        tools.scheduler().ended(number, server);
+        dependencies.quarantine().ended(runId(attempts));
+        dependencies.scheduler().attemptEnded(requestNumber, server);
         server = null;
     }
 
-    /**
-     * Returns the identifier of a run.
-     *
-     * @param attemptNumber The number of the attempt.
-     * @return The identifier.
-     */
-    private RunId run(int attemptNumber) {
+    private RunId runId(int attemptNumber) {
         return new RunId(fingerprint, reply.requestId() + "-" + attemptNumber);
     }
 
-    /**
-     * Returns the retry budget.
-     *
-     * @return The budget.
-     */
-    private RetryBudget retries() {
-        return tools.retries()
+    private RetryBudget retryBudget() {
+        return dependencies
+                .retries()
                 .of(caller.customer().name(), caller.serviceClass().name());
     }
 
-    /**
-     * Tells whether the call must run at most once.
-     *
-     * @return Whether it must.
-     */
     private boolean isAtMostOnce() {
         return request.route().repetition() == Repetition.AT_MOST_ONCE;
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ServiceRequest.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/ServiceRequest.java
@@ -7,13 +7,13 @@
 import org.cranberrygauge.model.service.ServiceRoute;
 
 /**
- * A call to a plain service as the caller sent it.
+ * A call to a plain service as received from the caller.
  *
- * @param route The route.
- * @param method The method.
- * @param uri The path with its query.
- * @param headers The headers that are passed on.
- * @param body The body.
+ * @param route The matching route.
+ * @param method The HTTP method.
+ * @param uri The path below the services prefix, with its query.
+ * @param headers The headers that are forwarded.
+ * @param body The whole body.
  * @param idempotencyKey The idempotency key, or null.
  */
 public record ServiceRequest(
@@ -24,26 +24,17 @@
         Buffer body,
         String idempotencyKey) {
 
-    /** Copies the map. */
     public ServiceRequest {
         headers = Map.copyOf(headers);
     }
 
-    /**
-     * Returns the digest of what makes the call.
-     *
-     * @return The digest of method, path and body.
-     */
+    /** Returns a digest of method, URI and body, by which a repeated call is recognised. */
     public String digest() {
         Buffer whole = Buffer.buffer(method).appendString(" ").appendString(uri).appendString("\n");
         return KeyDigest.digest(whole.appendBuffer(body).getBytes());
     }
 
-    /**
-     * Returns the digest of the idempotency key.
-     *
-     * @return The digest.
-     */
+    /** Returns the digest of the idempotency key, which must be present. */
     public String keyDigest() {
         return KeyDigest.digest(idempotencyKey.getBytes(StandardCharsets.UTF_8));
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/StreamEvent.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/StreamEvent.java
@@ -3,36 +3,33 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** One event of a stream of completions. */
+/** One event of a completion stream. */
 sealed interface StreamEvent {
 
     /**
-     * A frame.
+     * A chunk of a completion.
      *
-     * @param json The frame.
+     * @param json The whole chunk.
      * @param content The text of a token, or null.
-     * @param toolCalls The parts of tool calls; empty for none.
-     * @param finishReason Why the answer ended, or null.
+     * @param toolCalls The parts of tool calls; may be empty.
+     * @param finishReason The reason why the answer ended, or null if it has not.
      * @param promptTokens The number of prompt tokens; -1 if not stated.
      */
-    record Frame(JsonObject json, String content, JsonArray toolCalls, String finishReason, int promptTokens)
+    record Chunk(JsonObject json, String content, JsonArray toolCalls, String finishReason, int promptTokens)
             implements StreamEvent {}
 
-    /** The end of the stream. */
+    /** The event that ends the stream. */
     enum Done implements StreamEvent {
-        /** The only instance. */
         INSTANCE
     }
 
-    /** A comment, which is dropped. */
+    /** A comment, which is ignored. */
     enum Comment implements StreamEvent {
-        /** The only instance. */
         INSTANCE
     }
 
-    /** Something that is no event. */
-    enum Garbage implements StreamEvent {
-        /** The only instance. */
+    /** An event that could not be parsed. */
+    enum Malformed implements StreamEvent {
         INSTANCE
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/TokenMeter.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/TokenMeter.java
@@ -4,75 +4,59 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts the tokens that a caller got and measures the times between them.
+ * Counts the tokens delivered to a caller and measures the intervals between them.
  *
- * <p>Invariants: the count never falls. Used on the context of the caller's connection.
+ * <p>Invariants: the count never decreases. Used on the context of the caller's connection.
  */
 final class TokenMeter {
 
-    /** The number of tokens of an attempt from which its speed counts as measured. */
-    private static final int MEASURED_TOKENS = 4;
+    /** The number of tokens an attempt must deliver for its mean token interval to be reported. */
+    private static final int MIN_MEASURED_TOKENS = 4;
 
-    /** The number of tokens. */
     private int delivered;
 
-    /** The number of tokens before the present attempt. */
-    private int deliveredBefore;
+    /** The number of tokens delivered before the current attempt. */
+    private int deliveredBeforeAttempt;
 
-    /** The time of the last token in nanoseconds. */
     private long lastNanos;
 
-    /** The time of the first token of the present attempt in nanoseconds. */
-    private long attemptNanos;
+    /** The time of the first token of the current attempt in nanoseconds. */
+    private long firstTokenNanos;
 
-    /** Begins an attempt. */
     void beginAttempt() {
-        deliveredBefore = delivered;
+        deliveredBeforeAttempt = delivered;
     }
 
     /**
      * Counts a token.
      *
-     * @param nowNanos The present monotonic time in nanoseconds.
-     * @return The time since the token before it in milliseconds, or nothing for the first.
+     * @return The time since the previous token in milliseconds, or nothing for the first token.
      */
     OptionalDouble count(long nowNanos) {
         OptionalDouble gap = delivered == 0 ? OptionalDouble.empty() : OptionalDouble.of(millis(nowNanos - lastNanos));
-        if (delivered == deliveredBefore) {
-            attemptNanos = nowNanos;
+        if (delivered == deliveredBeforeAttempt) {
+            firstTokenNanos = nowNanos;
         }
         lastNanos = nowNanos;
         delivered++;
         return gap;
     }
 
-    /**
-     * Returns the number of tokens.
-     *
-     * @return The number.
-     */
     int delivered() {
         return delivered;
     }
 
     /**
-     * Returns the mean time between the tokens of the present attempt.
-     *
-     * @return The time in milliseconds, or nothing after too few tokens.
+     * Returns the mean interval between the tokens of the current attempt in milliseconds, or nothing after too few
+     * tokens.
      */
     OptionalDouble meanIntervalMillis() {
-        int measured = delivered - deliveredBefore;
-        return measured < MEASURED_TOKENS
+        int measured = delivered - deliveredBeforeAttempt;
+        return measured < MIN_MEASURED_TOKENS
                 ? OptionalDouble.empty()
-                : OptionalDouble.of(millis(lastNanos - attemptNanos) / (measured - 1));
+                : OptionalDouble.of(millis(lastNanos - firstTokenNanos) / (measured - 1));
     }
 
-    /**
-     * Converts a time.
-     *
-     * @param nanos The time in nanoseconds.
-     * @return The time in milliseconds.
-     */
     private static double millis(long nanos) {
         return (double) nanos / TimeUnit.MILLISECONDS.toNanos(1);
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/package-info.java
@@ -1,2 +1,2 @@
-/** One request on its way from the caller to a backend server and back. */
+/** Request execution, from admission to the response of the backend server. */
 package org.cranberrygauge.gateway.call;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeServer.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeServer.java
@@ -13,27 +13,24 @@
 import org.cranberrygauge.protocol.generated.GatewayExchange;
 
 /**
- * The Thrift server for peers.
+ * The Thrift server that peers send their reports to.
  *
- * <p>Runs on threads of its own, which are daemons.
+ * <p>Runs on its own daemon threads.
  */
 public final class ExchangeServer {
 
-    /** The number of threads that answer. */
-    private static final int WORKERS = 2;
+    /** The number of worker threads. */
+    private static final int WORKER_THREADS = 2;
 
-    /** The server. */
     private final TServer server;
 
-    /** The port. */
     private final int port;
 
     /**
      * Starts a server.
      *
-     * @param address The address; port 0 takes any free one.
-     * @param service The service.
-     * @throws CranberrygaugeException If the address can't be used.
+     * @param address The address to listen on; port 0 selects a free port.
+     * @throws CranberrygaugeException If the address cannot be bound.
      */
     public ExchangeServer(NetworkAddress address, GatewayExchange.Iface service) throws CranberrygaugeException {
         try {
@@ -42,7 +39,7 @@
             port = socket.getPort();
             server = new TThreadedSelectorServer(new TThreadedSelectorServer.Args(socket)
                     .selectorThreads(1)
-                    .workerThreads(WORKERS)
+                    .workerThreads(WORKER_THREADS)
                     .transportFactory(new TFramedTransport.Factory())
                     .protocolFactory(new TCompactProtocol.Factory())
                     .processor(new GatewayExchange.Processor<>(service)));
@@ -57,16 +54,11 @@
         thread.start();
     }
 
-    /**
-     * Returns the port.
-     *
-     * @return The port.
-     */
+    /** Returns the port that the server is listening on. */
     public int port() {
         return port;
     }
 
-    /** Stops the server. */
     public void stop() {
         server.stop();
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeService.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeService.java
@@ -18,96 +18,82 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * What a gateway answers to its peers.
+ * The Thrift service that a gateway offers to its peers and to operators.
  *
  * <p>Safe for use by several threads.
  */
 public final class ExchangeService implements GatewayExchange.Iface {
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The follower of the log. */
     private final LogFollower follower;
 
-    /** Builds the report of this gateway. */
     private final Supplier<GatewayReport> ownReport;
 
-    /** Takes copies of usage from peers. */
-    private final UsageReplicator usageCopies;
+    private final UsageReplicator usageReplicator;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** Takes in what peers tell of suspected requests. */
     private final Quarantine quarantine;
 
-    /** Acts on what peers told of suspected requests. */
-    private final Runnable onSuspects;
+    /** Called after a peer reported observations of suspects. */
+    private final Runnable onSuspectsReported;
 
     /**
-     * Creates the service.
+     * Creates the service that peers connect to.
      *
-     * @param blackboard The blackboard.
-     * @param follower The follower of the log.
      * @param ownReport Builds the report of this gateway.
-     * @param usageCopies Takes copies of usage from peers.
-     * @param time The sources of time.
-     * @param quarantine Takes in what peers tell of suspected requests.
-     * @param onSuspects Acts on what peers told of suspected requests.
+     * @param quarantine Receives the observations of peers.
+     * @param onSuspectsReported Called after a peer reported observations of suspects.
      */
     public ExchangeService(
-            ProcessState blackboard,
+            ProcessState processState,
             LogFollower follower,
             Supplier<GatewayReport> ownReport,
-            UsageReplicator usageCopies,
+            UsageReplicator usageReplicator,
             TimeSource time,
             Quarantine quarantine,
-            Runnable onSuspects) {
-        this.blackboard = blackboard;
+            Runnable onSuspectsReported) {
+        this.processState = processState;
         this.follower = follower;
         this.ownReport = ownReport;
-        this.usageCopies = usageCopies;
+        this.usageReplicator = usageReplicator;
         this.time = time;
         this.quarantine = quarantine;
-        this.onSuspects = onSuspects;
+        this.onSuspectsReported = onSuspectsReported;
     }
 
     @Override
     public GatewayReport exchange(GatewayReport report) throws TException {
-        take(report);
-        if (!usageCopies.take(report)) {
-            throw new TException("the copy of usage can't be held");
+        receive(report);
+        if (!usageReplicator.receive(report)) {
+            throw new TException("the usage copy cannot be stored");
         }
         return ownReport.get();
     }
 
     @Override
     public GatewayReport status() {
-        return usageCopies.withSignals(ownReport.get());
+        return usageReplicator.withSignals(ownReport.get());
     }
 
     @Override
     public LogSlice readLog(long afterOffset, int limit) {
         List<LogSliceEntry> entries = new ArrayList<>();
-        for (StoredEntry entry : follower.keptAfter(afterOffset, limit)) {
+        for (StoredEntry entry : follower.retainedAfter(afterOffset, limit)) {
             entries.add(new LogSliceEntry(entry.offset(), entry.appendedAtMillis(), entry.payload()));
         }
-        return new LogSlice(entries, blackboard.position().offset(), logAgeMillis());
+        return new LogSlice(entries, processState.position().offset(), logAgeMillis());
     }
 
-    /**
-     * Takes in the report of a peer.
-     *
-     * @param report The report.
-     */
-    public void take(GatewayReport report) {
+    /** Processes the report of a peer. */
+    public void receive(GatewayReport report) {
         List<QuarantineObservation> observations = ObservationCodec.read(report.getQuarantined());
         quarantine.heard(time.monotonicMillis(), report.getGateway(), observations);
         if (!observations.isEmpty()) {
-            onSuspects.run();
+            onSuspectsReported.run();
         }
-        blackboard
+        processState
                 .peers()
                 .put(
                         report.getHost(),
@@ -122,21 +108,12 @@
                                 report.getWaiting()));
     }
 
-    /**
-     * Writes what this gateway tells its peers of suspected requests.
-     *
-     * @return The texts of a report.
-     */
-    public List<String> suspects() {
+    /** Returns this gateway's observations of suspects as the texts of a report. */
+    public List<String> suspectObservations() {
         return ObservationCodec.write(quarantine.observations(time.monotonicMillis()));
     }
 
-    /**
-     * Returns the time since this gateway read the log's end.
-     *
-     * @return The time in milliseconds.
-     */
     private long logAgeMillis() {
-        return time.monotonicMillis() - blackboard.position().endReadAtMillis();
+        return time.monotonicMillis() - processState.position().endReadAtMillis();
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ObservationCodec.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ObservationCodec.java
@@ -6,41 +6,30 @@
 import org.cranberrygauge.decision.quarantine.RequestFingerprint;
 
 /**
- * Writes what is told of suspected requests as the texts of a report.
+ * Encodes observations of suspects as the texts of a report.
  *
- * <p>A text has its parts separated by spaces: {@code crashed FINGERPRINT RUN_MILLIS AGE_MILLIS SERVER}, {@code cleared
- * FINGERPRINT AGE_MILLIS} or {@code running FINGERPRINT SERVER}. A text that can't be read is left out, so that a newer
- * peer may say more. Stateless and safe for use by several threads.
+ * <p>The parts of a text are separated by spaces: {@code crashed FINGERPRINT RUN_MILLIS AGE_MILLIS SERVER}, {@code
+ * cleared FINGERPRINT AGE_MILLIS} or {@code running FINGERPRINT SERVER}. A text that cannot be parsed is ignored, so
+ * that newer peers may send more kinds. Stateless and safe for use by several threads.
  */
 final class ObservationCodec {
 
-    /** The first word on a crash. */
     private static final String CRASHED = "crashed";
 
-    /** The first word on a completion. */
     private static final String CLEARED = "cleared";
 
-    /** The first word on a run. */
     private static final String RUNNING = "running";
 
-    /** Prevents instances. */
     private ObservationCodec() {}
 
-    /**
-     * Writes observations.
-     *
-     * @param observations The observations.
-     * @return The texts.
-     */
     static List<String> write(List<QuarantineObservation> observations) {
         return observations.stream().map(ObservationCodec::write).toList();
     }
 
     /**
-     * Reads observations.
+     * Decodes the texts that can be parsed.
      *
-     * @param texts The texts, or null for none.
-     * @return The observations that can be read.
+     * @param texts The texts; null is treated as empty.
      */
     static List<QuarantineObservation> read(List<String> texts) {
         List<QuarantineObservation> observations = new ArrayList<>();
@@ -57,12 +46,6 @@
         return observations;
     }
 
-    /**
-     * Writes an observation.
-     *
-     * @param observation The observation.
-     * @return The text.
-     */
     private static String write(QuarantineObservation observation) {
         String fingerprint = observation.fingerprint().hexadecimal();
         if (observation instanceof QuarantineObservation.Crashed crashed) {
@@ -81,10 +64,9 @@
     }
 
     /**
-     * Reads an observation.
+     * Decodes the parts of a text.
      *
-     * @param parts The parts of its text.
-     * @return The observation, or null if it is of no known kind.
+     * @return The observation, or null if its kind is unknown.
      */
     private static QuarantineObservation read(String... parts) {
         if (parts.length == 5 && parts[0].equals(CRASHED)) {
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerClient.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerClient.java
@@ -20,100 +20,79 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Exchanges reports with one peer, and takes from it what the log does not give.
+ * Exchanges reports with one peer, and fetches log entries from it that this gateway has not read.
  *
  * <p>Used by one thread.
  */
 final class PeerClient {
 
-    /** The time after which a call to a peer is given up in milliseconds. */
+    /** The connect and read timeout of calls to a peer in milliseconds. */
     private static final int TIMEOUT_MILLIS = 500;
 
-    /** The highest number of log entries in one call. */
-    private static final int SLICE_LIMIT = 500;
+    /** The largest number of log entries fetched with one call. */
+    private static final int MAX_ENTRIES_PER_READ = 500;
 
-    /** The address of the peer. */
     private final NetworkAddress address;
 
-    /** The service that takes reports in. */
     private final ExchangeService service;
 
-    /** Builds the report of this gateway. */
     private final Supplier<GatewayReport> ownReport;
 
-    /** Gives copies of usage to a peer. */
-    private final UsageReplicator usageCopies;
+    private final UsageReplicator usageReplicator;
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The follower of the log. */
     private final LogFollower follower;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The connection, or null. */
+    /** The connection, or null if disconnected. */
     private TSocket socket;
 
-    /** The client on the connection, or null. */
+    /** The client on the connection, or null if disconnected. */
     private GatewayExchange.Client client;
 
-    /**
-     * Creates a client.
-     *
-     * @param address The address of the peer.
-     * @param service The service that takes reports in.
-     * @param ownReport Builds the report of this gateway.
-     * @param usageCopies Gives copies of usage to a peer.
-     * @param blackboard The blackboard.
-     * @param follower The follower of the log.
-     * @param time The sources of time.
-     */
     PeerClient(
             NetworkAddress address,
             ExchangeService service,
             Supplier<GatewayReport> ownReport,
-            UsageReplicator usageCopies,
-            ProcessState blackboard,
+            UsageReplicator usageReplicator,
+            ProcessState processState,
             LogFollower follower,
             TimeSource time) {
         this.address = address;
         this.service = service;
         this.ownReport = ownReport;
-        this.usageCopies = usageCopies;
-        this.blackboard = blackboard;
+        this.usageReplicator = usageReplicator;
+        this.processState = processState;
         this.follower = follower;
         this.time = time;
     }
 
-    /** Exchanges reports once; a peer that does not answer is tried again next time. */
+    /**
+     * Exchanges reports once. If the peer does not answer, the connection is closed and the next exchange reconnects.
+     */
     void exchange() {
         try {
             connect();
             GatewayReport report = ownReport.get();
-            Optional<UsageDelta> copy = usageCopies.attach(address.toString(), report);
+            Optional<UsageDelta> copy = usageReplicator.attach(address.toString(), report);
             GatewayReport answer = client.exchange(report);
-            usageCopies.answered(address.toString(), copy);
-            service.take(answer);
-            if (answer.getLogOffset() > blackboard.position().offset()) {
+            usageReplicator.acknowledged(address.toString(), copy);
+            service.receive(answer);
+            if (answer.getLogOffset() > processState.position().offset()) {
                 readFromPeer();
             } else {
-                noteFreshness(time.monotonicMillis(), answer.getLogOffset(), answer.getLogAgeMillis());
+                adoptPeerFreshness(time.monotonicMillis(), answer.getLogOffset(), answer.getLogAgeMillis());
             }
         } catch (TException exception) {
-            usageCopies.failed(address.toString());
+            usageReplicator.failed(address.toString());
             disconnect();
         }
     }
 
-    /**
-     * Takes entries from the peer.
-     *
-     * @throws TException If the peer does not answer.
-     */
     private void readFromPeer() throws TException {
-        LogSlice slice = client.readLog(blackboard.position().offset(), SLICE_LIMIT);
+        LogSlice slice = client.readLog(processState.position().offset(), MAX_ENTRIES_PER_READ);
         List<StoredEntry> entries = slice.getEntries().stream()
                 .map(entry -> new StoredEntry(entry.getOffset(), entry.getAppendedAtMillis(), entry.getPayload()))
                 .toList();
@@ -121,25 +100,21 @@
     }
 
     /**
-     * Notes that this gateway knows as much as a peer that read the log's end.
+     * Adopts the freshness of a peer that read the end of the log, if this gateway has applied as many entries. The
+     * timeout is subtracted, since the peer's answer may have been on its way for that long.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The monotonic time in milliseconds.
      * @param peerOffset The offset up to which the peer has read.
-     * @param peerAgeMillis The time since the peer read the log's end.
+     * @param peerAgeMillis The time since the peer read the end of the log in milliseconds.
      */
-    private void noteFreshness(long nowMillis, long peerOffset, long peerAgeMillis) {
-        LogPosition position = blackboard.position();
+    private void adoptPeerFreshness(long nowMillis, long peerOffset, long peerAgeMillis) {
+        LogPosition position = processState.position();
         long readAtMillis = nowMillis - peerAgeMillis - TIMEOUT_MILLIS;
         if (position.offset() >= peerOffset && readAtMillis > position.endReadAtMillis()) {
-            blackboard.publish(new LogPosition(position.offset(), readAtMillis));
+            processState.publish(new LogPosition(position.offset(), readAtMillis));
         }
     }
 
-    /**
-     * Connects unless connected.
-     *
-     * @throws TException If the peer can't be reached.
-     */
     private void connect() throws TException {
         if (client != null) {
             return;
@@ -150,7 +125,6 @@
         client = new GatewayExchange.Client(new TCompactProtocol(transport));
     }
 
-    /** Drops the connection. */
     private void disconnect() {
         if (socket != null) {
             socket.close();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerExchange.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerExchange.java
@@ -15,79 +15,66 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Exchanges reports with all peers, each on a thread of its own so that a frozen peer delays no other.
+ * Exchanges reports with all peers, each on its own thread so that an unresponsive peer does not delay the others.
  *
  * <p>Safe for use by several threads.
  */
 public final class PeerExchange {
 
-    /** The threads, one a peer. */
-    private final List<ScheduledExecutorService> threads = new CopyOnWriteArrayList<>();
+    /** The threads, one per peer. */
+    private final List<ScheduledExecutorService> executors = new CopyOnWriteArrayList<>();
 
-    /** The clients, one a peer, in the order of the threads. */
+    /** The clients, one per peer, in the order of the threads. */
     private final List<PeerClient> clients = new CopyOnWriteArrayList<>();
 
-    /** The time between two exchanges with a peer in milliseconds. */
     private final long intervalMillis;
 
-    /** Creates a client. */
     private final Function<NetworkAddress, PeerClient> factory;
 
     /**
-     * Starts to exchange.
+     * Starts exchanging reports.
      *
-     * @param peers The addresses of the peers.
-     * @param intervalMillis The time between two exchanges with a peer in milliseconds.
-     * @param service The service that takes reports in.
+     * @param intervalMillis The delay between two exchanges with a peer in milliseconds.
      * @param ownReport Builds the report of this gateway.
-     * @param usageCopies Gives copies of usage to a peer.
-     * @param blackboard The blackboard.
-     * @param follower The follower of the log.
-     * @param time The sources of time.
      */
     public PeerExchange(
             List<NetworkAddress> peers,
             long intervalMillis,
             ExchangeService service,
             Supplier<GatewayReport> ownReport,
-            UsageReplicator usageCopies,
-            ProcessState blackboard,
+            UsageReplicator usageReplicator,
+            ProcessState processState,
             LogFollower follower,
             TimeSource time) {
         this.intervalMillis = intervalMillis;
-        this.factory = peer -> new PeerClient(peer, service, ownReport, usageCopies, blackboard, follower, time);
+        this.factory = peer -> new PeerClient(peer, service, ownReport, usageReplicator, processState, follower, time);
         peers.forEach(this::add);
     }
 
-    /**
-     * Adds a peer.
-     *
-     * @param peer The address of its exchange.
-     */
+    /** Adds a peer, given by the address of its exchange server. */
     public void add(NetworkAddress peer) {
         PeerClient client = factory.apply(peer);
-        ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(work -> {
+        ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(work -> {
             Thread created = new Thread(work, "exchange-" + peer);
             created.setDaemon(true);
             return created;
         });
-        thread.scheduleWithFixedDelay(client::exchange, 0, intervalMillis, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(client::exchange, 0, intervalMillis, TimeUnit.MILLISECONDS);
         clients.add(client);
-        threads.add(thread);
+        executors.add(executor);
     }
 
-    /** Exchanges with each peer now, in addition to the regular times. */
+    /** Exchanges reports with each peer as soon as possible, in addition to the periodic exchanges. */
     public void exchangeNow() {
         for (int index = 0; index < clients.size(); index++) {
             PeerClient client = clients.get(index);
-            if (!threads.get(index).isShutdown()) {
-                threads.get(index).execute(client::exchange);
+            if (!executors.get(index).isShutdown()) {
+                executors.get(index).execute(client::exchange);
             }
         }
     }
 
-    /** Stops to exchange. */
     public void stop() {
-        threads.forEach(ScheduledExecutorService::shutdownNow);
+        executors.forEach(ScheduledExecutorService::shutdownNow);
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** The exchange with the other gateways. */
+/** The exchange of reports with the other gateways. */
 package org.cranberrygauge.gateway.exchange;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/AdmissionGate.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/AdmissionGate.java
@@ -8,98 +8,76 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Tells whether this gateway admits requests now.
+ * Decides whether this gateway currently admits requests.
  *
  * <p>Safe for use by several threads.
  */
 public final class AdmissionGate {
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The rule of freshness. */
     private final AdmissionFreshness freshness;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The host of this gateway. */
     private final String host;
 
-    /** The incarnation of this gateway. */
     private final String gateway;
 
-    /** Whether a planned stop began. */
+    /** Whether a planned stop has begun. */
     private volatile boolean draining;
 
-    /**
-     * Creates a gate.
-     *
-     * @param blackboard The blackboard.
-     * @param freshness The rule of freshness.
-     * @param time The sources of time.
-     * @param host The host of this gateway.
-     * @param gateway The incarnation of this gateway.
-     */
     public AdmissionGate(
-            ProcessState blackboard, AdmissionFreshness freshness, TimeSource time, String host, String gateway) {
-        this.blackboard = blackboard;
+            ProcessState processState, AdmissionFreshness freshness, TimeSource time, String host, String gateway) {
+        this.processState = processState;
         this.freshness = freshness;
         this.time = time;
         this.host = host;
         this.gateway = gateway;
     }
 
-    /** Stops to admit, for a planned stop. */
+    /** Stops admitting requests because of a planned stop. */
     public void drain() {
         draining = true;
     }
 
-    /**
-     * Tells whether a planned stop began.
-     *
-     * @return Whether it did.
-     */
+    /** Returns whether a planned stop has begun. */
     public boolean isDraining() {
         return draining;
     }
 
     /**
-     * Checks that requests may be admitted now.
+     * Checks whether requests may be admitted.
      *
-     * @throws CranberrygaugeException If they may not.
+     * @throws CranberrygaugeException If this gateway is stopping, has no configuration, or may not know of withdrawn
+     *     keys.
      */
     public void check() throws CranberrygaugeException {
         if (draining) {
-            throw new CranberrygaugeException(ErrorCode.NOT_ADMITTING, "this gateway stops");
+            throw new CranberrygaugeException(ErrorCode.NOT_ADMITTING, "this gateway is shutting down");
         }
-        if (blackboard.log().configuration().current().version() == 0) {
+        if (processState.log().configuration().current().version() == 0) {
             throw new CranberrygaugeException(ErrorCode.NOT_ADMITTING, "this gateway has no configuration yet");
         }
         if (!freshness.mayAdmit(time.monotonicMillis(), view())) {
             throw new CranberrygaugeException(
                     ErrorCode.NOT_ADMITTING,
-                    "this gateway is cut off or no member yet, and may not know withdrawn keys");
+                    "this gateway is isolated or not yet a member, and may not know of withdrawn keys");
         }
     }
 
-    /**
-     * Builds what the rule of freshness needs to know.
-     *
-     * @return The view.
-     */
     private AdmissionFreshness.View view() {
-        Membership members = blackboard.log().members();
+        Membership members = processState.log().members();
         long others = members.all().stream()
                 .filter(member -> !member.host().equals(host))
                 .count();
         return new AdmissionFreshness.View(
-                blackboard.position().endReadAtMillis(),
-                blackboard.configuration().times().freshnessMillis(),
-                blackboard.log().configuration().current().version(),
-                blackboard.position().offset(),
+                processState.position().endReadAtMillis(),
+                processState.configuration().times().freshnessMillis(),
+                processState.log().configuration().current().version(),
+                processState.position().offset(),
                 members.contains(gateway),
                 (int) others,
-                blackboard.peers().values());
+                processState.peers().values());
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/Authenticator.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/Authenticator.java
@@ -15,37 +15,25 @@
 import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
- * Finds out whose request it is.
+ * Determines the customer and service class of a request.
  *
- * <p>Invariants: a key is compared by its digest only; a key that is not in force gives no caller. Safe for use by several
- * threads.
+ * <p>Invariants: a key is only ever compared by its digest; a key that is not in force is never accepted. Safe for use
+ * by several threads.
  */
 final class Authenticator {
 
-    /** The header by which a caller chooses a class. */
+    /** The request header by which a caller selects a service class. */
     static final String CLASS_HEADER = "X-Service-Class";
 
-    /** The start of the header with the key. */
     private static final String BEARER = "Bearer ";
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /**
-     * Creates an authenticator.
-     *
-     * @param blackboard The blackboard.
-     */
-    Authenticator(ProcessState blackboard) {
-        this.blackboard = blackboard;
+    Authenticator(ProcessState processState) {
+        this.processState = processState;
     }
 
-    /**
-     * Reads the key of a request.
-     *
-     * @param request The request.
-     * @return The key, or nothing.
-     */
+    /** Returns the bearer token of a request, or nothing. */
     static Optional<String> key(HttpServerRequest request) {
         String header = request.getHeader("Authorization");
         if (header == null || !header.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
@@ -55,17 +43,15 @@
     }
 
     /**
-     * Finds the customer of a request.
+     * Returns the owner of the key of a request.
      *
-     * @param request The request.
-     * @return The owner of the key.
      * @throws CranberrygaugeException If the key is missing, unknown or withdrawn.
      */
     Customer customer(HttpServerRequest request) throws CranberrygaugeException {
         String key = key(request)
                 .orElseThrow(() -> new CranberrygaugeException(
                         ErrorCode.INVALID_KEY, "a key is required as Authorization: Bearer KEY"));
-        return blackboard
+        return processState
                 .log()
                 .keys()
                 .owner(KeyDigest.of(key))
@@ -75,16 +61,15 @@
     }
 
     /**
-     * Finds the caller of a completion.
+     * Returns the caller of a completion request, in the selected class or else in the customer's class with the
+     * highest priority.
      *
-     * @param request The request.
-     * @return The caller with the class it chose, else the highest of its classes.
-     * @throws CranberrygaugeException If the key or the class does not allow the request.
+     * @throws CranberrygaugeException If the key is not valid or does not allow the selected class.
      */
     Caller caller(HttpServerRequest request) throws CranberrygaugeException {
         Customer customer = customer(request);
-        LogDerivedState sections = blackboard.log();
-        Configuration configuration = sections.configuration().current().configuration();
+        LogDerivedState logState = processState.log();
+        Configuration configuration = logState.configuration().current().configuration();
         String wanted = request.getHeader(CLASS_HEADER);
         ServiceClass chosen = configuration.classes().stream()
                 .filter(candidate -> customer.classes().contains(candidate.name()))
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/BodyReader.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/BodyReader.java
@@ -9,27 +9,22 @@
 import org.cranberrygauge.model.error.ErrorCode;
 
 /**
- * Reads the body of a request within a size and a time.
+ * Reads the body of a request within a size limit and a timeout.
  *
  * <p>Used on the context of the request.
  */
 final class BodyReader {
 
-    /** Prevents instances. */
     private BodyReader() {}
 
     /**
      * Reads a body.
      *
-     * @param vertx The Vert.x instance.
-     * @param request The request.
-     * @param limitBytes The largest size in bytes.
-     * @param timeoutMillis The time in which the body must arrive in milliseconds.
-     * @return The body, or a typed failure.
+     * @return The body, or a {@link CranberrygaugeException} if it is too large, late or incomplete.
      */
     static Future<Buffer> read(Vertx vertx, HttpServerRequest request, int limitBytes, long timeoutMillis) {
         Promise<Buffer> promise = Promise.promise();
-        if (statedLength(request) > limitBytes) {
+        if (contentLength(request) > limitBytes) {
             fail(promise, ErrorCode.TOO_LARGE, "the body is larger than " + limitBytes + " bytes");
             return promise.future();
         }
@@ -46,18 +41,13 @@
             }
             body.appendBuffer(part);
         });
-        request.exceptionHandler(failure -> fail(promise, ErrorCode.INVALID_REQUEST, "the body broke off"));
+        request.exceptionHandler(failure -> fail(promise, ErrorCode.INVALID_REQUEST, "the body ended prematurely"));
         request.endHandler(end -> promise.tryComplete(body));
         return promise.future().onComplete(done -> vertx.cancelTimer(timer));
     }
 
-    /**
-     * Reads the length of the body as the caller states it.
-     *
-     * @param request The request.
-     * @return The length in bytes; 0 if none is stated.
-     */
-    private static long statedLength(HttpServerRequest request) {
+    /** Returns the value of the Content-Length header in bytes; 0 if there is none. */
+    private static long contentLength(HttpServerRequest request) {
         try {
             return Long.parseLong(request.getHeader("Content-Length"));
         } catch (NumberFormatException exception) {
@@ -65,13 +55,6 @@
         }
     }
 
-    /**
-     * Fails unless done.
-     *
-     * @param promise The promise.
-     * @param code The code.
-     * @param message The message.
-     */
     private static void fail(Promise<Buffer> promise, ErrorCode code, String message) {
         promise.tryFail(new CranberrygaugeException(code, message));
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/CallerVerticle.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/CallerVerticle.java
@@ -8,32 +8,20 @@
 import org.cranberrygauge.runtime.http.StrictRequestDecoder;
 
 /**
- * Lets one event loop listen to callers.
+ * An HTTP server for callers on one event loop.
  *
  * <p>Used on its event loop.
  */
 final class CallerVerticle extends VerticleBase {
 
-    /** The options of the server. */
     private final HttpServerOptions options;
 
-    /** The handler. */
     private final CallerHandler handler;
 
-    /** The connections of callers. */
     private final IdleConnections connections;
 
-    /** Takes the server once it listens. */
     private final Consumer<HttpServer> onListening;
 
-    /**
-     * Creates a verticle.
-     *
-     * @param options The options of the server.
-     * @param handler The handler.
-     * @param connections The connections of callers.
-     * @param onListening Takes the server once it listens.
-     */
     CallerVerticle(
             HttpServerOptions options,
             CallerHandler handler,
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/GatewayServers.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/GatewayServers.java
@@ -13,44 +13,31 @@
 import org.cranberrygauge.runtime.tls.CertificateReloader;
 
 /**
- * The HTTP servers of a gateway: one for operations, and for callers one on each event loop.
+ * The HTTP servers of a gateway: one for operations, and one per event loop for callers.
  *
  * <p>Started once by one thread; the ports are set before the start completes.
  */
 public final class GatewayServers {
 
-    /** The port by which Vert.x lets several servers share any free one. */
+    /** The port number with which Vert.x lets several servers share one free port. */
     private static final int ANY_SHARED_PORT = -1;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The settings. */
     private final GatewaySettings settings;
 
-    /** The connections of callers. */
     private final IdleConnections connections;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** What the files of TLS held at the start; null without TLS. */
+    /** The certificate the servers were started with; null without TLS. */
     private CertificateFiles.Content certificate;
 
-    /** One of the servers of callers, which share the port and the certificates. */
+    /** One of the servers for callers, which share the port and the certificate. */
     private volatile HttpServer callerServer;
 
-    /** The server of operations. */
     private HttpServer operationsServer;
 
-    /**
-     * Creates the servers.
-     *
-     * @param vertx The Vert.x instance.
-     * @param settings The settings.
-     * @param connections The connections of callers.
-     * @param events The event log.
-     */
     public GatewayServers(Vertx vertx, GatewaySettings settings, IdleConnections connections, EventLog events) {
         this.connections = connections;
         this.vertx = vertx;
@@ -58,13 +45,7 @@
         this.events = events;
     }
 
-    /**
-     * Starts to listen.
-     *
-     * @param callers The handler of callers.
-     * @param operations The handler of operations.
-     * @return Completes when all servers listen.
-     */
+    /** Starts all servers and completes once they are listening. */
     public Future<Void> listen(CallerHandler callers, OperationsHandler operations) {
         Optional<CertificateFiles> files;
         try {
@@ -80,33 +61,20 @@
                     operationsServer = listening;
                     return listenToCallers(callers);
                 })
-                .onSuccess(listening -> files.ifPresent(this::reload));
+                .onSuccess(listening -> files.ifPresent(this::startReloading));
     }
 
-    /**
-     * Returns the port for callers.
-     *
-     * @return The port.
-     */
+    /** Returns the port that was bound for callers. */
     public int callerPort() {
         return callerServer.actualPort();
     }
 
-    /**
-     * Returns the port for operations.
-     *
-     * @return The port.
-     */
+    /** Returns the port that was bound for operations. */
     public int operationsPort() {
         return operationsServer.actualPort();
     }
 
-    /**
-     * Lets each event loop listen to callers.
-     *
-     * @param callers The handler.
-     * @return Completes when they listen.
-     */
+    /** Starts one server per event loop. */
     private Future<Void> listenToCallers(CallerHandler callers) {
         Future<Void> all = Future.succeededFuture();
         for (int loop = 0; loop < settings.eventLoops(); loop++) {
@@ -117,21 +85,12 @@
         return all;
     }
 
-    /**
-     * Starts to look for replaced certificates.
-     *
-     * @param files The files.
-     */
-    private void reload(CertificateFiles files) {
+    /** Starts the periodic check for replaced certificates. */
+    private void startReloading(CertificateFiles files) {
         new CertificateReloader(vertx, files, certificate, callerServer, events)
                 .start(settings.tls().reloadMillis());
     }
 
-    /**
-     * Builds the options of a server of callers.
-     *
-     * @return The options.
-     */
     private HttpServerOptions callerOptions() {
         NetworkAddress address = settings.listenAddress();
         HttpServerOptions options = options(address)
@@ -142,12 +101,6 @@
         return certificate == null ? options : options.setSsl(true).setKeyCertOptions(certificate.options());
     }
 
-    /**
-     * Builds the options of a server.
-     *
-     * @param address The address.
-     * @return The options.
-     */
     private static HttpServerOptions options(NetworkAddress address) {
         return new HttpServerOptions().setHost(address.host()).setPort(address.port());
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/IdleConnections.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/IdleConnections.java
@@ -7,79 +7,62 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Closes the connections of callers that have sent no request for some time.
+ * Closes the connections of callers that have not sent a request for some time.
  *
- * <p>Invariants: a connection with a request that waits or runs is never closed here, however long it takes; a caller that
- * never completes the header of a request is. Safe for use by several threads.
+ * <p>Invariants: a connection with a queued or running request is never closed, however long that takes; a connection
+ * on which the header of a request is never completed is closed. Safe for use by several threads.
  */
 public final class IdleConnections {
 
-    /** The sources of time. */
     private final TimeSource time;
 
     /** The time without a request after which a connection is closed in milliseconds. */
-    private final long limitMillis;
+    private final long idleTimeoutMillis;
 
-    /** The activity of each connection. */
     private final Map<HttpConnection, Activity> connections = new ConcurrentHashMap<>();
 
     /**
-     * Creates an empty set.
+     * Creates a registry without connections.
      *
-     * @param time The sources of time.
-     * @param limitMillis The time without a request after which a connection is closed in milliseconds.
+     * @param idleTimeoutMillis The time without a request after which a connection is closed in milliseconds.
      */
-    public IdleConnections(TimeSource time, long limitMillis) {
+    public IdleConnections(TimeSource time, long idleTimeoutMillis) {
         this.time = time;
-        this.limitMillis = limitMillis;
+        this.idleTimeoutMillis = idleTimeoutMillis;
     }
 
-    /**
-     * Adds a new connection.
-     *
-     * @param connection The connection.
-     */
+    /** Registers a new connection. */
     public void opened(HttpConnection connection) {
         connections.put(connection, new Activity(0, time.monotonicMillis()));
         connection.closeHandler(closed -> connections.remove(connection));
     }
 
-    /**
-     * Notes a request, until its answer is sent or its connection is closed.
-     *
-     * @param request The request.
-     */
-    void began(HttpServerRequest request) {
+    /** Marks a connection as busy until the response to a request is sent or the connection is closed. */
+    void requestStarted(HttpServerRequest request) {
         HttpConnection connection = request.connection();
-        change(connection, 1);
-        request.response().endHandler(ended -> change(connection, -1));
+        adjustRequests(connection, 1);
+        request.response().endHandler(ended -> adjustRequests(connection, -1));
     }
 
-    /** Closes the connections that are idle for too long. */
+    /** Closes the connections that have been idle for too long. */
     public void closeIdle() {
-        long beforeMillis = time.monotonicMillis() - limitMillis;
+        long idleSinceMillis = time.monotonicMillis() - idleTimeoutMillis;
         connections.forEach((connection, activity) -> {
-            if (activity.requests() == 0 && activity.changedAtMillis() <= beforeMillis) {
+            if (activity.requests() == 0 && activity.changedAtMillis() <= idleSinceMillis) {
                 connection.close();
             }
         });
     }
 
-    /**
-     * Changes the number of requests of a connection.
-     *
-     * @param connection The connection.
-     * @param difference The difference.
-     */
-    private void change(HttpConnection connection, int difference) {
+    private void adjustRequests(HttpConnection connection, int difference) {
         connections.computeIfPresent(
                 connection, (key, before) -> new Activity(before.requests() + difference, time.monotonicMillis()));
     }
 
     /**
-     * What happens on a connection.
+     * The state of a connection.
      *
-     * @param requests The number of requests that wait or run.
+     * @param requests The number of queued or running requests.
      * @param changedAtMillis The monotonic time of the last change in milliseconds.
      */
     private record Activity(int requests, long changedAtMillis) {}
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP interface of callers and of operations. */
+/** The HTTP interfaces for callers and for operations. */
 package org.cranberrygauge.gateway.http;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The program between callers and backend servers. */
+/** The gateway program, which routes the requests of callers to backend servers. */
 package org.cranberrygauge.gateway;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/reservation/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/reservation/package-info.java
@@ -1,2 +1,2 @@
-/** Reserving calls that run at most once. */
+/** Reservations of calls that run at most once. */
 package org.cranberrygauge.gateway.reservation;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/BackendTableUpdater.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/BackendTableUpdater.java
@@ -18,103 +18,74 @@
 import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
- * Brings what the blackboard says of backend servers and peers into the table by which requests are dispatched.
+ * Transfers the known state of backend servers and peers to the table that requests are dispatched by.
  *
- * <p>Invariants: a drained, leaving or failing backend server is not available. Failures and measurements are noted from
- * any thread; they are applied by the thread that uses the table.
+ * <p>Invariants: a backend server that is drained, leaving or failing is not available. Failures and measurements are
+ * recorded by any thread and applied by the thread that uses the table.
  */
 public final class BackendTableUpdater {
 
-    /** The age after which a peer's counts are dropped in milliseconds. */
+    /** The age at which a peer's in-flight counts are discarded in milliseconds. */
     private static final long PEER_EXPIRY_MILLIS = 2_000;
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The host of this gateway. */
     private final String host;
 
-    /** The names of the backend servers that failed and were not yet marked. */
+    /** The names of the failed backend servers that the table does not know yet. */
     private final Queue<String> failures = new ConcurrentLinkedQueue<>();
 
-    /** The measurements that were not yet taken in. */
+    /** The measured token intervals that the table does not know yet. */
     private final Queue<Measurement> measurements = new ConcurrentLinkedQueue<>();
 
-    /** The servers of the table, replaced whole. */
+    /** The configured and listed backend servers; replaced as a whole. */
     private volatile List<BackendServer> servers = List.of();
 
-    /**
-     * Creates a board.
-     *
-     * @param blackboard The blackboard.
-     * @param host The host of this gateway.
-     */
-    public BackendTableUpdater(ProcessState blackboard, String host) {
-        this.blackboard = blackboard;
+    public BackendTableUpdater(ProcessState processState, String host) {
+        this.processState = processState;
         this.host = host;
     }
 
-    /**
-     * Notes that a backend server failed, from any thread.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param server The backend server.
-     */
-    public void failed(long nowMillis, BackendServer server) {
+    /** Records that a backend server failed. May be called by any thread. */
+    public void recordFailure(long nowMillis, BackendServer server) {
         failures.add(server.name());
     }
 
-    /**
-     * Tells whether a backend server is still among those that are configured or listed, from any thread.
-     *
-     * @param server The backend server.
-     * @return Whether it is.
-     */
+    /** Returns whether a backend server is still configured or listed. May be called by any thread. */
     public boolean isKnown(BackendServer server) {
         return servers.contains(server);
     }
 
-    /**
-     * Notes the speed of a backend server, from any thread.
-     *
-     * @param server The backend server.
-     * @param intervalMillis The mean time between the tokens of a request in milliseconds.
-     */
-    public void measured(BackendServer server, double intervalMillis) {
+    /** Records the mean time between two tokens of a request in milliseconds. May be called by any thread. */
+    public void recordTokenInterval(BackendServer server, double intervalMillis) {
         measurements.add(new Measurement(server.name(), intervalMillis));
     }
 
-    /**
-     * Applies the noted failures and measurements.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param table The table.
-     */
-    void applyNoted(long nowMillis, BackendTable table) {
+    /** Applies the failures and measurements recorded since the last call. */
+    void applyRecorded(long nowMillis, BackendTable table) {
         for (String server = failures.poll(); server != null; server = failures.poll()) {
             table.failed(nowMillis, server);
         }
-        for (Measurement noted = measurements.poll(); noted != null; noted = measurements.poll()) {
-            table.measured(nowMillis, noted.server(), noted.intervalMillis());
+        for (Measurement measurement = measurements.poll(); measurement != null; measurement = measurements.poll()) {
+            table.measured(nowMillis, measurement.server(), measurement.intervalMillis());
         }
     }
 
     /**
-     * Applies what the blackboard says.
+     * Applies the configuration, the platform's list, the drains and the reports of the peers.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param table The table.
-     * @param ownWaiting The number of requests that wait at this gateway.
+     * @param nowMillis The monotonic time in milliseconds.
+     * @param ownWaiting The number of requests queued at this gateway.
      */
     public void refresh(long nowMillis, BackendTable table, int ownWaiting) {
-        DrainState drains = blackboard.log().drains();
+        DrainState drains = processState.log().drains();
         Map<String, BackendServer> known = new LinkedHashMap<>();
         Map<String, Boolean> available = new HashMap<>();
-        for (BackendServer server : blackboard.configuration().backendServers()) {
+        for (BackendServer server : processState.configuration().backendServers()) {
             known.put(server.name(), server);
             available.put(server.name(), !drains.isDrained(server.name()));
         }
-        for (ListedBackendServer listed : blackboard.listed()) {
+        for (ListedBackendServer listed : processState.listed()) {
             String name = listed.server().name();
             known.put(name, listed.server());
             available.put(name, listed.state() == HostState.LIVE && !drains.isDrained(name));
@@ -125,22 +96,15 @@
             table.configure(next);
         }
         available.forEach(table::setAvailable);
-        exchange(nowMillis, table, ownWaiting);
+        applyPeerReports(nowMillis, table, ownWaiting);
     }
 
-    /**
-     * Applies what the peers said.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param table The table.
-     * @param ownWaiting The number of requests that wait at this gateway.
-     */
-    private void exchange(long nowMillis, BackendTable table, int ownWaiting) {
+    private void applyPeerReports(long nowMillis, BackendTable table, int ownWaiting) {
         Map<String, Integer> others = new HashMap<>();
         TreeMap<String, Double> demands = new TreeMap<>();
         int own = table.inFlight().values().stream().mapToInt(Integer::intValue).sum();
         demands.put(host, (double) (own + ownWaiting));
-        for (Map.Entry<String, PeerReport> peer : blackboard.peers().entrySet()) {
+        for (Map.Entry<String, PeerReport> peer : processState.peers().entrySet()) {
             PeerReport report = peer.getValue();
             boolean fresh = nowMillis - report.heardAtMillis() <= PEER_EXPIRY_MILLIS;
             if (fresh && !peer.getKey().equals(host)) {
@@ -151,11 +115,6 @@
         table.exchange(others, GatewayDemand.of(host, demands));
     }
 
-    /**
-     * A measured speed.
-     *
-     * @param server The name of the backend server.
-     * @param intervalMillis The mean time between tokens in milliseconds.
-     */
+    /** A measured token interval of a backend server in milliseconds. */
     private record Measurement(String server, double intervalMillis) {}
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/PendingCall.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/PendingCall.java
@@ -8,14 +8,14 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * A request that waits for a backend server.
+ * A request that is queued for a backend server.
  *
- * @param queued What admission needs to know.
- * @param routing What routing needs to know.
- * @param eligibility Tells on which backend servers the request may start.
- * @param onStart Takes the backend server that it starts on.
- * @param onRefused Takes the refusal.
- * @param onPreempted Stops the attempt and submits the request again, or null if it can't go on elsewhere.
+ * @param queued The properties by which it is admitted.
+ * @param routing The properties by which it is routed.
+ * @param eligibility The rule that tells on which backend servers it may start.
+ * @param onStart Receives the backend server that the request starts on.
+ * @param onRefused Receives the refusal.
+ * @param onPreempted Stops the running attempt and submits the request again; null if it cannot be resumed elsewhere.
  */
 public record PendingCall(
         QueuedRequest queued,
@@ -25,15 +25,7 @@
         Consumer<Refusal> onRefused,
         Runnable onPreempted) {
 
-    /**
-     * Creates a call that can't be preempted.
-     *
-     * @param queued What admission needs to know.
-     * @param routing What routing needs to know.
-     * @param eligibility Tells on which backend servers the request may start.
-     * @param onStart Takes the backend server that it starts on.
-     * @param onRefused Takes the refusal.
-     */
+    /** Creates a request that cannot be preempted. */
     public PendingCall(
             QueuedRequest queued,
             RoutingRequest routing,
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/Scheduler.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/Scheduler.java
@@ -17,75 +17,58 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Lets the dispatcher of this gateway start, refuse and preempt calls.
+ * Drives the dispatcher of this gateway, which starts, refuses and preempts requests.
  *
- * <p>Invariants: a request is started or refused exactly once for each time it is submitted, unless it is cancelled; the
+ * <p>Invariants: a request is started or refused exactly once each time it is submitted, unless it is cancelled; the
  * dispatcher is used by one thread at a time. Safe for use by several threads without locks.
  */
 public final class Scheduler implements DispatchListener {
 
-    /** The time between two looks at the blackboard in milliseconds. */
+    /** The interval at which the backend table is refreshed in milliseconds. */
     private static final long REFRESH_MILLIS = 100;
 
-    /** The time between two comparisons of speeds in milliseconds. */
+    /** The interval at which the speeds of backend servers are compared in milliseconds. */
     private static final long COMPARE_MILLIS = 500;
 
-    /** Serialises access to the dispatcher. */
     private final SerialExecutor serial = new SerialExecutor();
 
-    /** The dispatcher, used within the serial runner. */
+    /** The dispatcher; used by the serial executor only. */
     private final Dispatcher dispatcher;
 
-    /** The backend servers as the blackboard knows them. */
-    private final BackendTableUpdater board;
+    private final BackendTableUpdater tableUpdater;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** Takes the backend servers that were ejected or readmitted. */
     private final Consumer<Ejection> onEjection;
 
-    /** The waiting and running calls by identifier, used within the serial runner. */
+    /** The queued and preemptible calls by request identifier; used by the serial executor only. */
     private final Map<Long, PendingCall> calls = new HashMap<>();
 
-    /** What was last counted, for other threads. */
+    /** The counts of the last tick, for other threads. */
     private final AtomicReference<Counts> counts = new AtomicReference<>(new Counts(Map.of(), Map.of()));
 
-    /** The classes, used within the serial runner. */
+    /** The configured classes; used by the serial executor only. */
     private List<ServiceClass> classes = List.of();
 
-    /** The monotonic time of the last look at the blackboard, used within the serial runner. */
+    /** The monotonic time of the last refresh; used by the serial executor only. */
     private long refreshedAtMillis = Long.MIN_VALUE / 2;
 
-    /** The monotonic time of the last comparison of speeds, used within the serial runner. */
+    /** The monotonic time of the last comparison; used by the serial executor only. */
     private long comparedAtMillis = Long.MIN_VALUE / 2;
 
-    /**
-     * Creates a scheduler.
-     *
-     * @param policy The decisions.
-     * @param board The backend servers as the blackboard knows them.
-     * @param time The sources of time.
-     * @param random The source of randomness.
-     * @param onEjection Takes the backend servers that were ejected or readmitted.
-     */
     public Scheduler(
             DispatchPolicy policy,
-            BackendTableUpdater board,
+            BackendTableUpdater tableUpdater,
             TimeSource time,
             RandomGenerator random,
             Consumer<Ejection> onEjection) {
         this.dispatcher = new Dispatcher(policy, this, random);
-        this.board = board;
+        this.tableUpdater = tableUpdater;
         this.time = time;
         this.onEjection = onEjection;
     }
 
-    /**
-     * Replaces the classes.
-     *
-     * @param replacement The classes.
-     */
+    /** Replaces the configured classes. */
     public void configure(List<ServiceClass> replacement) {
         serial.run(() -> {
             classes = replacement;
@@ -94,25 +77,17 @@
         });
     }
 
-    /**
-     * Submits a request, also again after an attempt of it ended.
-     *
-     * @param call The request.
-     */
+    /** Submits a request, either initially or again after an attempt ended. */
     public void submit(PendingCall call) {
         serial.run(() -> {
             long nowMillis = time.monotonicMillis();
-            board.applyNoted(nowMillis, dispatcher.table());
+            tableUpdater.applyRecorded(nowMillis, dispatcher.table());
             calls.put(call.queued().requestId(), call);
             dispatcher.submit(nowMillis, call.queued(), call.routing(), call.onPreempted() != null, call.eligibility());
         });
     }
 
-    /**
-     * Removes a request whose caller is gone.
-     *
-     * @param requestId The identifier of the request.
-     */
+    /** Removes a request whose caller disconnected or that failed for good. */
     public void cancel(long requestId) {
         serial.run(() -> {
             calls.remove(requestId);
@@ -120,34 +95,32 @@
         });
     }
 
-    /**
-     * Notes that an attempt ended and frees its slot.
-     *
-     * @param requestId The identifier of the request.
-     * @param server The backend server.
-     */
-    public void ended(long requestId, BackendServer server) {
+    /** Releases the slot of an attempt that ended. */
+    public void attemptEnded(long requestId, BackendServer server) {
         serial.run(() -> dispatcher.ended(time.monotonicMillis(), requestId, server.name()));
     }
 
     /**
-     * Corrects the account of a customer by the actual cost of a request that ended for good.
+     * Corrects the usage charged to a customer once a request has ended for good.
      *
-     * @param request The request as it was submitted.
+     * @param request The request as it was submitted, with its estimated cost.
      * @param actualTokens The actual cost in tokens.
      */
-    public void account(QueuedRequest request, long actualTokens) {
+    public void recordCost(QueuedRequest request, long actualTokens) {
         serial.run(() -> {
             calls.remove(request.requestId());
             dispatcher.finished(request.requestId(), actualTokens);
         });
     }
 
-    /** Refuses what is past its deadline, starts what can start and preempts for what can't. */
+    /**
+     * Refuses requests past their deadline, starts those for which there is capacity and preempts running ones in
+     * favour of higher tiers.
+     */
     public void tick() {
         serial.run(() -> {
             long nowMillis = time.monotonicMillis();
-            board.applyNoted(nowMillis, dispatcher.table());
+            tableUpdater.applyRecorded(nowMillis, dispatcher.table());
             if (nowMillis - refreshedAtMillis >= REFRESH_MILLIS) {
                 refresh(nowMillis);
             }
@@ -160,20 +133,12 @@
         });
     }
 
-    /**
-     * Returns the number of waiting requests.
-     *
-     * @return The numbers by class, as of the last tick.
-     */
+    /** Returns the number of queued requests by class, as of the last tick. */
     public Map<String, Integer> waiting() {
         return counts.get().waiting();
     }
 
-    /**
-     * Returns the requests in flight from this gateway.
-     *
-     * @return The numbers by backend server, as of the last tick.
-     */
+    /** Returns the number of requests in flight from this gateway by backend server, as of the last tick. */
     public Map<String, Integer> inFlight() {
         return counts.get().inFlight();
     }
@@ -182,7 +147,7 @@
     public void start(QueuedRequest request, BackendServer server, boolean owed) {
         PendingCall call = calls.get(request.requestId());
         if (call == null) {
-            ended(request.requestId(), server);
+            attemptEnded(request.requestId(), server);
             return;
         }
         if (call.onPreempted() == null) {
@@ -207,23 +172,13 @@
         }
     }
 
-    /**
-     * Takes in what the blackboard says.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     */
     private void refresh(long nowMillis) {
         refreshedAtMillis = nowMillis;
         int waiting =
                 waitingByClass().values().stream().mapToInt(Integer::intValue).sum();
-        board.refresh(nowMillis, dispatcher.table(), waiting);
+        tableUpdater.refresh(nowMillis, dispatcher.table(), waiting);
     }
 
-    /**
-     * Counts the waiting requests.
-     *
-     * @return The numbers by class.
-     */
     private Map<String, Integer> waitingByClass() {
         Map<String, Integer> waiting = new HashMap<>();
         for (ServiceClass serviceClass : classes) {
@@ -233,14 +188,13 @@
     }
 
     /**
-     * What was counted at one time.
+     * The counts of one tick.
      *
-     * @param waiting The waiting requests by class.
+     * @param waiting The queued requests by class.
      * @param inFlight The requests in flight by backend server.
      */
     private record Counts(Map<String, Integer> waiting, Map<String, Integer> inFlight) {
 
-        /** Copies the maps. */
         private Counts {
             waiting = Map.copyOf(waiting);
             inFlight = Map.copyOf(inFlight);
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/package-info.java
@@ -1,2 +1,2 @@
-/** The waiting requests and the backend servers that take them. */
+/** The queue of requests and the state of the backend servers they are dispatched to. */
 package org.cranberrygauge.gateway.schedule;
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageAppender.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageAppender.java
@@ -9,50 +9,41 @@
 import org.cranberrygauge.runtime.log.LogAppender;
 
 /**
- * Sends counted usage to the log.
+ * Appends counted usage to the log.
  *
- * <p>Invariants: at most one delta is under way. Safe for use by several threads; all work happens on one Vert.x context.
+ * <p>Invariants: at most one delta is in flight. Safe for use by several threads; all work is done on one Vert.x
+ * context.
  */
-public final class UsageShipper {
+public final class UsageAppender {
 
-    /** The context on which all work happens. */
     private final Context context;
 
-    /** The counter. */
     private final UsageCounter counter;
 
-    /** The appender. */
     private final LogAppender appender;
 
-    /** The delta that is under way, or null; used on the context only. */
-    private Future<Long> underWay;
+    /** The delta in flight, or null; used on the context only. */
+    private Future<Long> inFlight;
 
-    /**
-     * Creates a shipper.
-     *
-     * @param vertx The Vert.x instance.
-     * @param counter The counter.
-     * @param appender The appender.
-     */
-    public UsageShipper(Vertx vertx, UsageCounter counter, LogAppender appender) {
+    public UsageAppender(Vertx vertx, UsageCounter counter, LogAppender appender) {
         this.context = vertx.getOrCreateContext();
         this.counter = counter;
         this.appender = appender;
     }
 
-    /** Sends a delta if one is due and none is under way. */
-    public void ship() {
+    /** Appends a delta if there is unrecorded usage and no delta is in flight. */
+    public void appendIfDue() {
         context.runOnContext(ignored -> {
-            if (underWay == null && counter.isDirty()) {
+            if (inFlight == null && counter.isDirty()) {
                 send();
             }
         });
     }
 
     /**
-     * Sends deltas until all that was counted stands in the log.
+     * Appends deltas until all counted usage is in the log.
      *
-     * @return Completes then, or fails once the log's queue takes no more.
+     * @return Completes then, or fails if the queue of the log is full.
      */
     public Future<Void> flush() {
         Promise<Void> promise = Promise.promise();
@@ -60,32 +51,22 @@
         return promise.future();
     }
 
-    /**
-     * Goes on to flush.
-     *
-     * @param promise Completes when all that was counted stands in the log.
-     */
     private void flush(Promise<Void> promise) {
-        if (underWay == null && !counter.isDirty()) {
+        if (inFlight == null && !counter.isDirty()) {
             promise.complete();
             return;
         }
-        Future<Long> current = underWay == null ? send() : underWay;
+        Future<Long> current = inFlight == null ? send() : inFlight;
         current.onFailure(promise::tryFail).onSuccess(offset -> context.runOnContext(ignored -> flush(promise)));
     }
 
-    /**
-     * Sends a delta.
-     *
-     * @return The offset of its entry.
-     */
     private Future<Long> send() {
         UsageDelta delta = counter.next();
         Promise<Long> promise = Promise.promise();
-        underWay = promise.future();
+        inFlight = promise.future();
         appender.append(delta)
                 .onComplete(appended -> context.runOnContext(ignored -> {
-                    underWay = null;
+                    inFlight = null;
                     if (appended.failed()) {
                         counter.fail();
                         promise.fail(appended.cause());
