--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageReplicator.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageReplicator.java
@@ -21,51 +21,37 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Gives copies of usage that is not in the log to a peer, and appends the copies held for peers that are gone.
+ * Replicates usage that is not in the log yet to a peer, and appends the copies held for peers that are gone.
  *
- * <p>Invariants: at most one append of each gateway's copy is under way. Safe for use by several threads.
+ * <p>Invariants: at most one append of each gateway's copy is in flight. Safe for use by several threads.
  */
 public final class UsageReplicator {
 
-    /** The highest number of keys in a copy. */
+    /** The largest number of usage keys in one copy. */
     public static final int KEYS_PER_COPY = 64;
 
-    /** The highest number of keys that are held for peers. */
-    private static final int KEYS_HELD = 16_384;
+    /** The largest number of usage keys held for all peers together. */
+    private static final int MAX_HELD_KEYS = 16_384;
 
-    /** The time without a report after which a peer counts as silent in milliseconds. */
-    private static final long SILENCE_MILLIS = 10_000;
+    /** The time without a report after which a peer is considered silent in milliseconds. */
+    private static final long PEER_SILENCE_MILLIS = 10_000;
 
-    /** The counter of this gateway. */
     private final UsageCounter counter;
 
-    /** Decides what is copied. */
+    /** Decides what is copied to which peer. */
     private final UsageReplication replication;
 
-    /** The copies held for peers. */
-    private final UsageCopies copies = new UsageCopies(KEYS_HELD, SILENCE_MILLIS);
+    private final UsageCopies copies = new UsageCopies(MAX_HELD_KEYS, PEER_SILENCE_MILLIS);
 
     /** The gateways whose copy is being appended. */
-    private final Set<String> underWay = ConcurrentHashMap.newKeySet();
+    private final Set<String> appending = ConcurrentHashMap.newKeySet();
 
-    /** The appender. */
     private final LogAppender appender;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The event log. */
     private final EventLog events;
 
-    /**
-     * Creates a desk.
-     *
-     * @param counter The counter of this gateway.
-     * @param replication Decides what is copied.
-     * @param appender The appender.
-     * @param time The sources of time.
-     * @param events The event log.
-     */
     public UsageReplicator(
             UsageCounter counter,
             UsageReplication replication,
@@ -79,23 +65,16 @@
         this.events = events;
     }
 
-    /**
-     * Adds to a report what controllers reckon the demand from.
-     *
-     * @param report The report.
-     * @return The same report.
-     */
+    /** Adds the usage signals from which the controller derives demand to a report, and returns the report. */
     public GatewayReport withSignals(GatewayReport report) {
         UsageSignals.of(counter.totals()).forEach(report::putToSignals);
         return report;
     }
 
     /**
-     * Takes the copy that shall go to a peer and attaches it to a report.
+     * Attaches the copy that is due for a peer to a report that is about to be sent to it.
      *
-     * @param peer The name of the peer.
-     * @param report The report that is about to be sent.
-     * @return The copy, or nothing.
+     * @return The copy, or nothing if none is due.
      */
     public Optional<UsageDelta> attach(String peer, GatewayReport report) {
         Optional<UsageDelta> copy = replication.next(peer);
@@ -104,31 +83,25 @@
     }
 
     /**
-     * Notes that a peer answered.
+     * Records that a peer acknowledged a report.
      *
-     * @param peer The name of the peer.
-     * @param copy The copy that was sent, or nothing.
+     * @param copy The copy that was attached, or nothing.
      */
-    public void answered(String peer, Optional<UsageDelta> copy) {
+    public void acknowledged(String peer, Optional<UsageDelta> copy) {
         replication.answered(peer, copy);
     }
 
-    /**
-     * Notes that a peer did not answer.
-     *
-     * @param peer The name of the peer.
-     */
+    /** Records that a peer did not answer. */
     public void failed(String peer) {
         replication.failed(peer);
     }
 
     /**
-     * Takes in what a peer sent.
+     * Stores the copy attached to a peer's report.
      *
-     * @param report The report of the peer.
-     * @return Whether a copy that it carried is held, or it carried none.
+     * @return False if the attached copy could not be stored; true if it was, or if there was none.
      */
-    public boolean take(GatewayReport report) {
+    public boolean receive(GatewayReport report) {
         long nowMillis = time.monotonicMillis();
         copies.heard(nowMillis, report.getGateway());
         if (!report.isSetUsageCopy()) {
@@ -143,28 +116,20 @@
         }
     }
 
-    /**
-     * Appends the copies that are due; called on the context of the log follower.
-     *
-     * @param state The state machines.
-     */
+    /** Appends the copies that are due. Must be called on the context of the log follower. */
     public void appendDue(LogState state) {
         Set<String> members =
                 state.members().all().stream().map(GatewayMember::gateway).collect(Collectors.toSet());
         for (UsageDelta copy : copies.due(time.monotonicMillis(), state.usage(), members)) {
-            if (underWay.add(copy.gateway())) {
+            if (appending.add(copy.gateway())) {
                 events.emit(new GatewayEvents.UsageCopyAppended(
                         copy.gateway(), copy.totals().size()));
-                appender.append(copy).onComplete(ended -> underWay.remove(copy.gateway()));
+                appender.append(copy).onComplete(ended -> appending.remove(copy.gateway()));
             }
         }
     }
 
-    /**
-     * Returns the calls in the copies held for peers.
-     *
-     * @return The number.
-     */
+    /** Returns the number of calls in the copies held for peers. */
     public long heldCalls() {
         return copies.calls();
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/package-info.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/package-info.java
@@ -1,2 +1,2 @@
-/** Sending counted usage to the log. */
+/** Recording and replication of counted usage. */
 package org.cranberrygauge.gateway.usage;
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/call/ActiveCallsTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/call/ActiveCallsTest.java
@@ -19,14 +19,14 @@
     void endsACallWhoseKeyIsWithdrawn() {
         calls.add(new RecordingCall(KeyDigest.of("key")));
 
-        calls.endWithdrawn(KeyIndex.empty());
+        calls.abortWithdrawn(KeyIndex.empty());
 
         assertThat(aborted).containsExactly(ErrorCode.KEY_WITHDRAWN);
     }
 
     @Test
     void endsACallThatIsAddedAfterItsKeyWasWithdrawn() {
-        calls.endWithdrawn(KeyIndex.empty());
+        calls.abortWithdrawn(KeyIndex.empty());
 
         calls.add(new RecordingCall(KeyDigest.of("key")));
 
@@ -34,10 +34,10 @@
     }
 
     @Test
-    void leavesCallsOnRoutesOpenToAll() {
+    void doesNotAbortCallsOnRoutesThatNeedNoKey() {
         calls.add(new RecordingCall(null));
 
-        calls.endWithdrawn(KeyIndex.empty());
+        calls.abortWithdrawn(KeyIndex.empty());
 
         assertThat(aborted).isEmpty();
     }
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public void reconsider() {
+        public void recheckQuarantine() {
             throw new AssertionError("not expected");
         }
     }
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/call/CanonicalJsonTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/call/CanonicalJsonTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void leavesOutNamedFieldsOfTheWholeOnly() {
+    void excludesNamedFieldsOfTheTopLevelOnly() {
         assertThat(write("{\"stream\":true,\"a\":{\"stream\":1}}")).isEqualTo(write("{\"a\":{\"stream\":1}}"));
     }
 
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/exchange/ObservationCodecTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/exchange/ObservationCodecTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void leavesOutWhatItCannotRead() {
+    void ignoresTextsThatItCannotParse() {
         assertThat(ObservationCodec.read(null)).isEmpty();
         assertThat(ObservationCodec.read(List.of("", "crashed a b c d", "mystery a", "cleared a x")))
                 .isEmpty();
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/reservation/ReservationManagerTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/reservation/ReservationManagerTest.java
@@ -21,7 +21,7 @@
 
     private final Reservations reservations = new Reservations();
 
-    private final ReservationManager desk =
+    private final ReservationManager manager =
             new ReservationManager(vertx, record -> Future.succeededFuture(1L), reservations, 60_000);
 
     @AfterEach
@@ -30,36 +30,39 @@
     }
 
     @Test
-    void aCallThatEndedHereIsNeverSaidToRunBeforeItsOutcomeIsReadBack() throws Exception {
+    void doesNotReportACallThatEndedHereAsRunningBeforeItsOutcomeIsReadBack() throws Exception {
         reservations.reserve(1, 0, FIRST);
-        assertThat(again()).isEqualTo(ReservationDecision.Running.INSTANCE);
+        assertThat(reserveAgain()).isEqualTo(ReservationDecision.Running.INSTANCE);
 
-        desk.record(new ReservationOutcome("r-1", Disposition.UNKNOWN, 0, "", "", false));
+        manager.record(new ReservationOutcome("r-1", Disposition.UNKNOWN, 0, "", "", false));
 
-        assertThat(again()).isEqualTo(ReservationDecision.Unknown.INSTANCE);
+        assertThat(reserveAgain()).isEqualTo(ReservationDecision.Unknown.INSTANCE);
     }
 
     @Test
-    void anAnswerThatWasGivenHereIsRepeatedBeforeItIsReadBack() throws Exception {
+    void replaysAnAnswerOfThisGatewayBeforeItIsReadBack() throws Exception {
         reservations.reserve(1, 0, FIRST);
         ReservationOutcome outcome = new ReservationOutcome("r-1", Disposition.ANSWERED, 200, "text", "body", true);
 
-        desk.record(outcome);
+        manager.record(outcome);
 
-        assertThat(again()).isEqualTo(new ReservationDecision.Answered(outcome));
+        assertThat(reserveAgain()).isEqualTo(new ReservationDecision.Answered(outcome));
     }
 
     @Test
-    void anotherBodyIsStillRefused() throws Exception {
+    void rejectsAKeyThatIsReusedWithAnotherBody() throws Exception {
         reservations.reserve(1, 0, FIRST);
-        desk.record(new ReservationOutcome("r-1", Disposition.UNKNOWN, 0, "", "", false));
+        manager.record(new ReservationOutcome("r-1", Disposition.UNKNOWN, 0, "", "", false));
         Reservation other = new Reservation("r-3", "customer", "/route/", "key", "other", "gateway", 0);
-        assertThat(desk.reserve(other).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS))
+        assertThat(manager.reserve(other)
+                        .toCompletionStage()
+                        .toCompletableFuture()
+                        .get(10, TimeUnit.SECONDS))
                 .isEqualTo(ReservationDecision.OtherBody.INSTANCE);
     }
 
-    private ReservationDecision again() throws Exception {
-        return desk.reserve(reservation("r-2"))
+    private ReservationDecision reserveAgain() throws Exception {
+        return manager.reserve(reservation("r-2"))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
--- a/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/usage/UsageAppenderTest.java
+++ b/cranberrygauge-gateway/src/test/java/org/cranberrygauge/gateway/usage/UsageAppenderTest.java
@@ -22,9 +22,9 @@
     private static final UsageKey CHAT = new UsageKey("odense-heritage", "field-crew-chat");
 
     private final Vertx vertx = Vertx.vertx();
-    private final HeldLog log = new HeldLog();
+    private final ManualLog log = new ManualLog();
     private final UsageCounter counter = new UsageCounter("host-1/1");
-    private final UsageShipper shipper = new UsageShipper(vertx, counter, new LogAppender(vertx, log, "host-1/1"));
+    private final UsageAppender appender = new UsageAppender(vertx, counter, new LogAppender(vertx, log, "host-1/1"));
 
     @AfterEach
     void close() {
@@ -34,10 +34,10 @@
     @Test
     void a_flush_waits_for_the_delta_under_way_and_sends_what_was_counted_after_it() throws Exception {
         counter.count(CHAT, new UsageFigures(1, 0, 0));
-        shipper.ship();
+        appender.appendIfDue();
         Append first = log.appends.poll(10, TimeUnit.SECONDS);
         counter.count(CHAT, new UsageFigures(1, 0, 0));
-        Future<Void> flushed = shipper.flush();
+        Future<Void> flushed = appender.flush();
         first.answer().complete(1L);
         Append second = log.appends.poll(10, TimeUnit.SECONDS);
         assertThat(second.payload()).contains("\"calls\":2");
@@ -49,7 +49,7 @@
 
     private record Append(String payload, CompletableFuture<Long> answer) {}
 
-    private static final class HeldLog implements PlatformLog {
+    private static final class ManualLog implements PlatformLog {
 
         private final BlockingQueue<Append> appends = new LinkedBlockingQueue<>();
 
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/BoundedEventLog.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/BoundedEventLog.java
@@ -8,47 +8,36 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Writes events as lines from a thread of its own.
+ * Writes events as lines on a dedicated thread, at a limited rate.
  *
- * <p>Invariants: emitting never blocks; at most a set number of lines is written in a second; what is dropped is counted and
- * told by a line. Safe for use by several threads.
+ * <p>Invariants: emitting never blocks; the number of lines written per second is limited; dropped events are counted
+ * and reported with an event of their own. Safe for use by several threads.
  */
 public final class BoundedEventLog implements EventLog {
 
-    /** The events that may wait to be written. */
+    /** The largest number of events that are queued to be written. */
     private static final int CAPACITY = 2_048;
 
-    /** The milliseconds of a second. */
     private static final long SECOND_MILLIS = 1_000;
 
-    /** The events that wait to be written. */
-    private final BlockingQueue<Timed> waiting = new ArrayBlockingQueue<>(CAPACITY);
+    private final BlockingQueue<TimestampedEvent> waiting = new ArrayBlockingQueue<>(CAPACITY);
 
-    /** The events dropped since the last line that told so. */
+    /** The number of events dropped since drops were last reported. */
     private final AtomicLong dropped = new AtomicLong();
 
-    /** The output. */
     private final PrintStream output;
 
-    /** The lines that are written in a second at most. */
+    /** The largest number of lines written per second. */
     private final int linesPerSecond;
 
-    /** The clocks. */
     private final TimeSource time;
 
-    /** The second that lines are counted in. */
+    /** The second in which lines are counted, since the epoch. */
     private long second;
 
-    /** The lines written in that second. */
+    /** The number of lines written in that second. */
     private int lines;
 
-    /**
-     * Creates a log.
-     *
-     * @param output The output.
-     * @param linesPerSecond The lines that are written in a second at most.
-     * @param time The clocks.
-     */
     BoundedEventLog(PrintStream output, int linesPerSecond, TimeSource time) {
         this.output = output;
         this.linesPerSecond = linesPerSecond;
@@ -56,11 +45,9 @@
     }
 
     /**
-     * Creates a log on standard output and starts its thread.
+     * Creates a log that writes to standard output and starts its thread.
      *
-     * @param linesPerSecond The lines that are written in a second at most.
-     * @param time The clocks.
-     * @return The log.
+     * @param linesPerSecond The largest number of lines written per second.
      */
     public static EventLog standardOutput(int linesPerSecond, TimeSource time) {
         BoundedEventLog log = new BoundedEventLog(System.out, linesPerSecond, time);
@@ -72,12 +59,11 @@
 
     @Override
     public void emit(Event event) {
-        if (!waiting.offer(new Timed(time.wallMillis(), event))) {
+        if (!waiting.offer(new TimestampedEvent(time.wallMillis(), event))) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Writes events until the thread is interrupted. */
     private void run() {
         try {
             while (true) {
@@ -88,26 +74,22 @@
         }
     }
 
-    /** Writes the events that wait. */
+    /** Writes the queued events on the calling thread. */
     void writeWaiting() {
-        for (Timed event = waiting.poll(); event != null; event = waiting.poll()) {
+        for (TimestampedEvent event = waiting.poll(); event != null; event = waiting.poll()) {
             write(event);
         }
     }
 
-    /**
-     * Writes an event unless too many were written in the present second.
-     *
-     * @param event The event.
-     */
-    private void write(Timed event) {
-        long present = event.atMillis() / SECOND_MILLIS;
-        if (present != second) {
-            second = present;
+    /** Writes an event, unless the limit of the current second is reached. */
+    private void write(TimestampedEvent event) {
+        long currentSecond = event.atMillis() / SECOND_MILLIS;
+        if (currentSecond != second) {
+            second = currentSecond;
             lines = 0;
-            long lost = dropped.getAndSet(0);
-            if (lost > 0) {
-                print(event.atMillis(), EventLog.line(new EventsDropped(lost)));
+            long droppedCount = dropped.getAndSet(0);
+            if (droppedCount > 0) {
+                print(event.atMillis(), EventLog.line(new EventsDropped(droppedCount)));
             }
         }
         if (lines >= linesPerSecond) {
@@ -118,12 +100,7 @@
         print(event.atMillis(), EventLog.line(event.event()));
     }
 
-    /**
-     * Prints a line with one write.
-     *
-     * @param atMillis The time of the event in milliseconds of the epoch.
-     * @param line The line.
-     */
+    /** Prints a line with a single write, so that it is not interleaved with other output. */
     private void print(long atMillis, String line) {
         byte[] bytes = ("time=" + atMillis + " " + line + "\n").getBytes(StandardCharsets.UTF_8);
         output.write(bytes, 0, bytes.length);
@@ -131,17 +108,12 @@
     }
 
     /**
-     * Events that were not written.
+     * Events were dropped because the rate limit was exceeded or the queue was full.
      *
-     * @param count Their number.
+     * @param count The number of events dropped since the previous report.
      */
     record EventsDropped(long count) implements Event {}
 
-    /**
-     * An event and its time.
-     *
-     * @param atMillis The time in milliseconds of the epoch.
-     * @param event The event.
-     */
-    private record Timed(long atMillis, Event event) {}
+    /** An event and the time in milliseconds since the epoch at which it was emitted. */
+    private record TimestampedEvent(long atMillis, Event event) {}
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/Event.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/Event.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.runtime.event;
 
 /**
- * One thing that happened; implementations are records whose components become the pairs of the line.
+ * An event; implementations are records whose components become the key=value pairs of a line.
  *
  * <p>The name of an event is the name of its type in snake case.
  */
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/EventLog.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/EventLog.java
@@ -8,14 +8,10 @@
 import java.util.Map;
 import org.tinylog.Logger;
 
-/** Takes events and writes each as one line of key=value pairs. */
+/** Receives events and writes each of them as one line of key=value pairs. */
 public interface EventLog {
 
-    /**
-     * Writes an event.
-     *
-     * @param event The event.
-     */
+    /** Writes an event. */
     void emit(Event event);
 
     /**
@@ -24,7 +20,6 @@
      * <p>Stateless and safe for use by several threads.
      */
     enum Tinylog implements EventLog {
-        /** The only instance. */
         INSTANCE;
 
         @Override
@@ -36,13 +31,10 @@
     /**
      * Passes each event on to several logs.
      *
-     * <p>Immutable; safe for use by several threads if its parts are.
-     *
-     * @param parts The logs.
+     * <p>Immutable; safe for use by several threads if all its parts are.
      */
     record Compound(List<EventLog> parts) implements EventLog {
 
-        /** Copies the list. */
         public Compound {
             parts = List.copyOf(parts);
         }
@@ -53,23 +45,17 @@
         }
     }
 
-    /** Drops events. */
+    /** Discards events. */
     enum NoOp implements EventLog {
-        /** The only instance. */
         INSTANCE;
 
         @Override
         public void emit(Event event) {
-            // Events are dropped.
+            // Discards the event.
         }
     }
 
-    /**
-     * Formats an event.
-     *
-     * @param event The event.
-     * @return The line.
-     */
+    /** Formats an event as a line without a time stamp. */
     static String line(Event event) {
         StringBuilder line = new StringBuilder("event=").append(name(event));
         fields(event)
@@ -78,22 +64,12 @@
         return line.toString();
     }
 
-    /**
-     * Returns the name of an event.
-     *
-     * @param event The event.
-     * @return The name in snake case.
-     */
+    /** Returns the name of an event in snake case. */
     static String name(Event event) {
         return snakeCase(event.getClass().getSimpleName());
     }
 
-    /**
-     * Returns the fields of an event.
-     *
-     * @param event The event.
-     * @return The values by the names of the fields in snake case, in their order.
-     */
+    /** Returns the values of an event by field name in snake case, in declaration order. */
     static Map<String, String> fields(Event event) {
         Map<String, String> fields = new LinkedHashMap<>();
         for (RecordComponent component : event.getClass().getRecordComponents()) {
@@ -102,38 +78,21 @@
         return fields;
     }
 
-    /**
-     * Reads a component.
-     *
-     * @param event The event.
-     * @param component The component.
-     * @return The value.
-     */
     private static Object read(Event event, RecordComponent component) {
         try {
             component.getAccessor().setAccessible(true);
             return component.getAccessor().invoke(event);
         } catch (IllegalAccessException | InvocationTargetException exception) {
-            throw new IllegalStateException("accessors of records can always be called", exception);
+            throw new IllegalStateException("record accessors are always accessible", exception);
         }
     }
 
-    /**
-     * Turns a Java name into snake case.
-     *
-     * @param name The name.
-     * @return The name in snake case.
-     */
+    /** Converts a Java name to snake case. */
     private static String snakeCase(String name) {
         return name.replaceAll("(?<=[a-z0-9])([A-Z])", "_$1").toLowerCase(Locale.ROOT);
     }
 
-    /**
-     * Quotes a value that has white space or quotes, and folds it into one line.
-     *
-     * @param value The value.
-     * @return The value as written.
-     */
+    /** Quotes a value that contains white space, quotes or equals signs, and escapes line breaks. */
     private static String quoted(String value) {
         if (!value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=')) {
             return value;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/EventRingBuffer.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/EventRingBuffer.java
@@ -8,54 +8,51 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps the newest events in memory, so that an operator can ask what was decided about a request or a backend server.
+ * Keeps the most recent events in memory, so that operators can query the decisions about a request or backend server.
  *
- * <p>Invariants: at most a fixed number of events is kept; an event that is written never waits. Safe for use by several
- * threads without locks.
+ * <p>Invariants: a fixed number of events is kept; emitting an event never blocks. Safe for use by several threads
+ * without locks.
  */
 public final class EventRingBuffer implements EventLog {
 
-    /** The events, each at its number modulo the size. */
-    private final AtomicReferenceArray<Kept> slots;
+    /** The events, each in the slot given by its sequence number modulo the capacity. */
+    private final AtomicReferenceArray<SequencedEvent> slots;
 
-    /** The number of events written. */
     private final AtomicLong written = new AtomicLong();
 
-    /** Tells the present time in milliseconds of the epoch. */
     private final LongSupplier wallMillis;
 
     /**
-     * Creates a ring.
+     * Creates an empty buffer.
      *
-     * @param size The number of events that are kept.
-     * @param wallMillis Tells the present time in milliseconds of the epoch.
+     * @param capacity The number of events that are kept.
+     * @param wallMillis Supplies the time in milliseconds since the epoch.
      */
-    public EventRingBuffer(int size, LongSupplier wallMillis) {
-        this.slots = new AtomicReferenceArray<>(size);
+    public EventRingBuffer(int capacity, LongSupplier wallMillis) {
+        this.slots = new AtomicReferenceArray<>(capacity);
         this.wallMillis = wallMillis;
     }
 
     @Override
     public void emit(Event event) {
         long number = written.getAndIncrement();
-        slots.set((int) (number % slots.length()), new Kept(number, wallMillis.getAsLong(), event));
+        slots.set((int) (number % slots.length()), new SequencedEvent(number, wallMillis.getAsLong(), event));
     }
 
     /**
-     * Finds the kept events about a subject.
+     * Returns the kept events in which any field has the given value, oldest first.
      *
-     * @param subject The identifier of a request, the name of a backend server or any other value of a field.
-     * @return The events, oldest first.
+     * @param subject For example a request identifier or the name of a backend server.
      */
     public List<Entry> about(String subject) {
         long end = written.get();
         List<Entry> entries = new ArrayList<>();
         for (long number = Math.max(0, end - slots.length()); number < end; number++) {
-            Kept kept = slots.get((int) (number % slots.length()));
-            if (kept != null && kept.number() == number) {
-                Map<String, String> fields = EventLog.fields(kept.event());
+            SequencedEvent stored = slots.get((int) (number % slots.length()));
+            if (stored != null && stored.number() == number) {
+                Map<String, String> fields = EventLog.fields(stored.event());
                 if (fields.containsValue(subject)) {
-                    entries.add(new Entry(kept.atMillis(), EventLog.name(kept.event()), fields));
+                    entries.add(new Entry(stored.atMillis(), EventLog.name(stored.event()), fields));
                 }
             }
         }
@@ -63,20 +60,19 @@
     }
 
     /**
-     * An event as it is shown.
+     * An event as presented to operators.
      *
-     * @param atMillis The time in milliseconds of the epoch.
-     * @param event The name of the event.
-     * @param fields The fields in their order.
+     * @param atMillis The time of the event in milliseconds since the epoch.
+     * @param event The name of the event in snake case.
+     * @param fields The values by field name, in declaration order.
      */
     public record Entry(long atMillis, String event, Map<String, String> fields) {}
 
     /**
-     * An event as it is kept.
+     * An event with its sequence number.
      *
-     * @param number The number of the event.
-     * @param atMillis The time in milliseconds of the epoch.
-     * @param event The event.
+     * @param number The sequence number, by which a reader detects that a slot was overwritten.
+     * @param atMillis The time of the event in milliseconds since the epoch.
      */
-    private record Kept(long number, long atMillis, Event event) {}
+    private record SequencedEvent(long number, long atMillis, Event event) {}
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/event/package-info.java
@@ -1,2 +1,2 @@
-/** Structured events, one line of key=value pairs each. */
+/** Structured events, each written as one line of key=value pairs. */
 package org.cranberrygauge.runtime.event;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/http/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/http/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP servers of all programs share. */
+/** Components shared by the HTTP servers of all programs. */
 package org.cranberrygauge.runtime.http;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/lifecycle/LifecycleEvents.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/lifecycle/LifecycleEvents.java
@@ -5,14 +5,13 @@
 /** The events of a process as a whole. */
 public final class LifecycleEvents {
 
-    /** Prevents instances. */
     private LifecycleEvents() {}
 
     /**
-     * A failure that no caller waits for, such as a connection that the other side reset.
+     * A failure that no caller handles, for example because the other side reset a connection.
      *
-     * @param type The type of the failure.
-     * @param message The message.
+     * @param type The simple class name of the exception.
+     * @param message The message of the exception.
      */
     public record UnhandledFailure(String type, String message) implements Event {}
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/lifecycle/Program.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/lifecycle/Program.java
@@ -10,25 +10,24 @@
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
 /**
- * What the entry points of long-running programs share.
+ * Functions shared by the entry points of long-running programs.
  *
  * <p>Stateless and safe for use by several threads.
  */
 public final class Program {
 
-    /** The version that is told where the jar states none. */
+    /** The version that is reported if the JAR does not state one. */
     private static final String UNKNOWN_VERSION = "development";
 
-    /** Prevents instances. */
     private Program() {}
 
     /**
-     * Reads the settings of a program, and ends it where it shall only print something.
+     * Reads the settings of a program and handles --help, --version and invalid settings.
      *
      * @param name The name of the program.
-     * @param settings The settings to fill in.
+     * @param settings The settings to populate.
      * @param arguments The command line.
-     * @return Whether the program shall run, or the status it shall exit with.
+     * @return The status to exit with, or nothing if the program should run.
      */
     public static Optional<Integer> readSettings(String name, ProcessSettings settings, String... arguments) {
         try {
@@ -50,43 +49,29 @@
         }
     }
 
-    /**
-     * Runs an orderly stop when the process is told to end, and exits with its status.
-     *
-     * @param stop Stops the program and returns its exit status.
-     */
+    /** Runs an orderly shutdown when the process is terminated, and exits with the status that it returns. */
     public static void onTermination(IntSupplier stop) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(() -> Runtime.getRuntime().halt(stop.getAsInt()), "planned-stop"));
     }
 
-    /**
-     * Writes failures that no caller waits for as one event each, in place of a stack trace over many lines.
-     *
-     * @param vertx The Vert.x instance.
-     * @param events The event log.
-     */
+    /** Emits each failure that no caller handles as an event instead of printing a multi-line stack trace. */
     public static void reportUnhandled(Vertx vertx, EventLog events) {
         vertx.exceptionHandler(failure -> events.emit(new LifecycleEvents.UnhandledFailure(
                 failure.getClass().getSimpleName(), String.valueOf(failure.getMessage()))));
     }
 
-    /**
-     * Returns the version of the program.
-     *
-     * @return The version.
-     */
+    /** Returns the version of the program. */
     public static String version() {
         String version = Program.class.getPackage().getImplementationVersion();
         return version == null ? UNKNOWN_VERSION : version;
     }
 
     /**
-     * Names a new incarnation of a program.
+     * Returns a name for this run of a program that is unique for the host.
      *
-     * @param hostName The name of the host.
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @return The name of the incarnation, unique for the host.
+     * @param hostName The host on which the program runs.
+     * @param wallMillis The time in milliseconds since the epoch.
      */
     public static String incarnation(String hostName, long wallMillis) {
         return hostName + "/" + wallMillis + "-" + ProcessHandle.current().pid();
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogAppender.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogAppender.java
@@ -17,59 +17,52 @@
 import org.cranberrygauge.protocol.platform.PlatformLog;
 
 /**
- * Appends records, many to an entry.
+ * Appends records to the log, batching several into one entry.
  *
- * <p>Invariants: entries are sent one at a time in the order of their sequence numbers; an entry whose answer is lost is
- * sent again with the same sequence number, so that readers drop the copy; the queue is bounded. Any thread may append;
- * one Vert.x context sends.
+ * <p>Invariants: entries are sent one at a time in the order of their sequence numbers; an entry whose response is lost
+ * is sent again with the same sequence number, so that readers drop the duplicate; the queue is bounded. Any thread may
+ * append; one Vert.x context sends.
  */
 public final class LogAppender {
 
-    /** The highest number of records in one entry. */
+    /** The largest number of records in one entry. */
     private static final int RECORDS_PER_ENTRY = 256;
 
-    /** The highest number of records that wait. */
+    /** The largest number of records that are queued or in flight. */
     private static final int QUEUE_LIMIT = 8_192;
 
-    /** The shortest time between two entries in milliseconds, in which records gather. */
-    private static final long GATHER_MILLIS = 5;
+    /** The delay before an entry is sent in milliseconds, during which records are batched. */
+    private static final long BATCH_DELAY_MILLIS = 5;
 
-    /** The time after a failed append before it is sent again in milliseconds. */
+    /** The delay before a failed append is retried in milliseconds. */
     private static final long RETRY_MILLIS = 100;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The context on which all sending happens. */
     private final Context context;
 
-    /** The log. */
     private final PlatformLog log;
 
-    /** The incarnation that writes. */
     private final String writer;
 
-    /** The records that wait; used on the context only. */
-    private final Deque<Pending> queue = new ArrayDeque<>();
+    /** The queued records; used on the context only. */
+    private final Deque<PendingRecord> queue = new ArrayDeque<>();
 
-    /** The number of records that wait or are under way. */
+    /** The number of records that are queued or in flight. */
     private final AtomicLong backlog = new AtomicLong();
 
-    /** The number of entries appended. */
     private final AtomicLong appended = new AtomicLong();
 
     /** The sequence number of the last entry; used on the context only. */
     private long sequence;
 
-    /** Whether an entry is under way or scheduled; used on the context only. */
+    /** Whether an entry is in flight or scheduled; used on the context only. */
     private boolean busy;
 
     /**
-     * Creates an appender.
+     * Creates an appender with an empty queue.
      *
-     * @param vertx The Vert.x instance.
-     * @param log The log.
-     * @param writer The incarnation that writes.
+     * @param writer The incarnation that is named as the writer of the entries.
      */
     public LogAppender(Vertx vertx, PlatformLog log, String writer) {
         this.vertx = vertx;
@@ -79,70 +72,53 @@
     }
 
     /**
-     * Appends a record, however long the log is unavailable.
+     * Appends a record, retrying for as long as the log is unavailable.
      *
-     * @param record The record.
-     * @return The offset of its entry, or a failure at once if the queue is full.
+     * @return The offset of its entry, or an immediate failure if the queue is full.
      */
     public Future<Long> append(LogRecord record) {
         if (backlog.incrementAndGet() > QUEUE_LIMIT) {
             backlog.decrementAndGet();
             return Future.failedFuture(
-                    new CranberrygaugeException(ErrorCode.LOG_UNAVAILABLE, "the queue of the log is full"));
+                    new CranberrygaugeException(ErrorCode.LOG_UNAVAILABLE, "the append queue of the log is full"));
         }
         Promise<Long> promise = Promise.promise();
         context.runOnContext(ignored -> {
-            queue.addLast(new Pending(record, promise));
+            queue.addLast(new PendingRecord(record, promise));
             schedule();
         });
         return promise.future();
     }
 
-    /**
-     * Returns the number of records that wait or are under way.
-     *
-     * @return The number.
-     */
+    /** Returns the number of records that are queued or in flight. */
     public long backlog() {
         return backlog.get();
     }
 
-    /**
-     * Returns the number of entries appended.
-     *
-     * @return The number.
-     */
+    /** Returns the number of entries appended. */
     public long appended() {
         return appended.get();
     }
 
-    /** Schedules the next entry unless one is under way. */
     private void schedule() {
         if (busy || queue.isEmpty()) {
             return;
         }
         busy = true;
-        vertx.setTimer(GATHER_MILLIS, ignored -> context.runOnContext(again -> sendNext()));
+        vertx.setTimer(BATCH_DELAY_MILLIS, ignored -> context.runOnContext(again -> sendNext()));
     }
 
-    /** Sends the next entry. */
     private void sendNext() {
-        List<Pending> batch = new ArrayList<>();
+        List<PendingRecord> batch = new ArrayList<>();
         while (!queue.isEmpty() && batch.size() < RECORDS_PER_ENTRY) {
             batch.add(queue.removeFirst());
         }
         sequence++;
-        List<LogRecord> records = batch.stream().map(Pending::record).toList();
+        List<LogRecord> records = batch.stream().map(PendingRecord::record).toList();
         send(LogCodec.write(new LogEntry(writer, sequence, records)), batch);
     }
 
-    /**
-     * Sends an entry until its answer arrives.
-     *
-     * @param payload The entry.
-     * @param batch The records in it.
-     */
-    private void send(String payload, List<Pending> batch) {
+    private void send(String payload, List<PendingRecord> batch) {
         log.append(payload)
                 .whenComplete((offset, failure) -> context.runOnContext(ignored -> {
                     if (failure != null) {
@@ -157,11 +133,6 @@
                 }));
     }
 
-    /**
-     * A record that waits.
-     *
-     * @param record The record.
-     * @param promise Takes the offset.
-     */
-    private record Pending(LogRecord record, Promise<Long> promise) {}
+    /** A queued record, and the promise that receives the offset of its entry. */
+    private record PendingRecord(LogRecord record, Promise<Long> promise) {}
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogFollower.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogFollower.java
@@ -22,190 +22,148 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Reads the log, advances the state machines and publishes what follows from them.
+ * Reads the log, applies it to the state machines and publishes the resulting state.
  *
- * <p>Invariants: entries are applied in order, each once; where the log no longer keeps the next one, the state goes on from
- * the newest snapshot; the time of freshness is taken before the read that reached the
- * log's end. All work happens on one Vert.x context.
+ * <p>Invariants: entries are applied in order, each exactly once; if the log no longer retains the next entry, the
+ * state is restored from the newest snapshot; the freshness time is taken before the read that reached the end of the
+ * log. All work is done on one Vert.x context.
  */
 public final class LogFollower {
 
-    /** The highest number of entries in one read. */
+    /** The largest number of entries in one read. */
     private static final int READ_LIMIT = 500;
 
-    /** The time for which a read waits at the log's end in milliseconds. */
+    /** How long a read at the end of the log waits for new entries in milliseconds. */
     private static final long WAIT_MILLIS = 500;
 
-    /** The time after a failed read before the next in milliseconds. */
+    /** The delay before a failed read is retried in milliseconds. */
     private static final long RETRY_MILLIS = 100;
 
-    /** The number of newest entries that are kept for peers. */
-    private static final int KEPT_ENTRIES = 2_000;
+    /** The number of most recent entries that are retained for peers. */
+    private static final int MAX_RETAINED_ENTRIES = 2_000;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The context on which all work happens. */
     private final Context context;
 
-    /** The log. */
     private final PlatformLog log;
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** The state machines; used on the context, but for parts that say otherwise. */
+    /** The state machines; used on the context, except for the parts that state otherwise. */
     private final LogState state = new LogState();
 
-    /** Those that wait for effects. */
     private final List<Consumer<ApplyResult>> listeners = new CopyOnWriteArrayList<>();
 
-    /** The newest entries, kept for peers; guarded by itself. */
-    private final Deque<PlatformLog.StoredEntry> kept = new ArrayDeque<>();
+    /** The most recent entries, retained for peers; guarded by itself. */
+    private final Deque<PlatformLog.StoredEntry> retained = new ArrayDeque<>();
 
-    /** The index of keys of the configuration in force. */
     private KeyIndex keys = KeyIndex.empty();
 
-    /** Whether it was told that no snapshot was found, and none was since. */
-    private boolean missingTold;
+    /** Whether a missing snapshot was reported, so that it is reported once only until one is found. */
+    private boolean missingSnapshotReported;
 
-    /** Whether following goes on. */
     private volatile boolean running = true;
 
-    /**
-     * Creates a follower.
-     *
-     * @param vertx The Vert.x instance.
-     * @param log The log.
-     * @param blackboard The blackboard.
-     * @param time The sources of time.
-     * @param events The event log.
-     */
-    public LogFollower(Vertx vertx, PlatformLog log, ProcessState blackboard, TimeSource time, EventLog events) {
+    public LogFollower(Vertx vertx, PlatformLog log, ProcessState processState, TimeSource time, EventLog events) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.log = log;
-        this.blackboard = blackboard;
+        this.processState = processState;
         this.time = time;
         this.events = events;
     }
 
-    /**
-     * Adds a listener, which is called on the context of the follower.
-     *
-     * @param listener The listener.
-     */
+    /** Adds a listener, which is notified on the context of the follower. */
     public void addListener(Consumer<ApplyResult> listener) {
         listeners.add(listener);
     }
 
-    /** Starts to follow the log. */
+    /** Starts following the log. */
     public void start() {
         context.runOnContext(ignored -> readOnce());
     }
 
-    /** Stops to follow the log. */
+    /** Stops following the log. */
     public void stop() {
         running = false;
     }
 
-    /**
-     * Returns the state machines; they change on the context of the follower.
-     *
-     * @return The state machines.
-     */
+    /** Returns the state machines, which change on the context of the follower. */
     public LogState state() {
         return state;
     }
 
-    /**
-     * Runs an action on the context of the follower, where the state machines may be read.
-     *
-     * @param action The action.
-     */
+    /** Runs an action on the context of the follower, where the state machines may be read. */
     public void onContext(Consumer<LogState> action) {
         context.runOnContext(ignored -> action.accept(state));
     }
 
-    /**
-     * Applies entries that a peer passed on.
-     *
-     * @param entries The entries.
-     */
+    /** Applies entries received from a peer. */
     public void offer(List<PlatformLog.StoredEntry> entries) {
         context.runOnContext(ignored -> applyAll(entries));
     }
 
     /**
-     * Returns the kept entries after an offset, without a gap.
+     * Returns the retained entries after an offset, without a gap.
      *
-     * @param afterOffset The offset.
-     * @param limit The highest number of entries.
-     * @return The entries; empty if the entry after the offset is no longer kept.
+     * @return The entries; empty if the entry after the offset is no longer retained.
      */
-    public List<PlatformLog.StoredEntry> keptAfter(long afterOffset, int limit) {
-        synchronized (kept) {
-            if (kept.isEmpty() || kept.peekFirst().offset() > afterOffset + 1) {
+    public List<PlatformLog.StoredEntry> retainedAfter(long afterOffset, int limit) {
+        synchronized (retained) {
+            if (retained.isEmpty() || retained.peekFirst().offset() > afterOffset + 1) {
                 return List.of();
             }
-            return kept.stream()
+            return retained.stream()
                     .filter(entry -> entry.offset() > afterOffset)
                     .limit(limit)
                     .toList();
         }
     }
 
-    /** Reads once and goes on. */
     private void readOnce() {
         if (!running) {
             return;
         }
-        long askedAtMillis = time.monotonicMillis();
+        long requestedAtMillis = time.monotonicMillis();
         log.read(state.offset(), READ_LIMIT, WAIT_MILLIS)
                 .whenComplete((page, failure) -> context.runOnContext(ignored -> {
                     if (failure != null) {
-                        later(this::readOnce);
+                        runLater(this::readOnce);
                         return;
                     }
-                    take(page, askedAtMillis);
+                    handlePage(page, requestedAtMillis);
                 }));
     }
 
     /**
-     * Takes what was read and goes on.
+     * Applies a page and continues reading, or restores a snapshot if needed entries are no longer retained.
      *
-     * @param page What was read.
-     * @param askedAtMillis The monotonic time before the read.
+     * @param requestedAtMillis The monotonic time before the read in milliseconds.
      */
-    private void take(PlatformLog.Page page, long askedAtMillis) {
-        boolean emptied = page.firstOffset() == 0 && page.endOffset() > state.offset();
-        if (emptied || page.firstOffset() > state.offset() + 1) {
+    private void handlePage(PlatformLog.Page page, long requestedAtMillis) {
+        boolean truncated = page.firstOffset() == 0 && page.endOffset() > state.offset();
+        if (truncated || page.firstOffset() > state.offset() + 1) {
             recover(new SnapshotReader());
             return;
         }
         applyAll(page.entries());
         if (state.offset() >= page.endOffset()) {
-            blackboard.publish(new LogPosition(state.offset(), askedAtMillis));
+            processState.publish(new LogPosition(state.offset(), requestedAtMillis));
         }
         readOnce();
     }
 
-    /**
-     * Searches the kept part of the log for a snapshot, since entries that are needed are no longer kept.
-     *
-     * @param reader The search.
-     */
+    /** Searches the retained part of the log for a snapshot. */
     private void recover(SnapshotReader reader) {
         log.read(reader.searched(), READ_LIMIT, 0)
                 .whenComplete((page, failure) -> context.runOnContext(ignored -> {
                     if (failure != null) {
-                        later(() -> recover(reader));
+                        runLater(() -> recover(reader));
                         return;
                     }
                     reader.take(page);
@@ -218,28 +176,28 @@
     }
 
     /**
-     * Goes on from the newest snapshot, or tries again later.
+     * Restores the newest snapshot found, or starts over after a delay.
      *
-     * @param reader The search that reached the log's end.
-     * @param page What was read last.
+     * @param reader The search, which has reached the end of the log.
+     * @param page The last page read.
      */
     private void restore(SnapshotReader reader, PlatformLog.Page page) {
         Snapshot newest = reader.newest().orElse(null);
         if (newest == null || !state.restore(newest)) {
-            if (!missingTold) {
+            if (!missingSnapshotReported) {
                 events.emit(new LogEvents.SnapshotMissing(state.offset(), page.firstOffset()));
             }
-            missingTold = true;
-            later(this::readOnce);
+            missingSnapshotReported = true;
+            runLater(this::readOnce);
             return;
         }
-        missingTold = false;
+        missingSnapshotReported = false;
         events.emit(new LogEvents.SnapshotRestored(newest.offset()));
-        synchronized (kept) {
-            kept.clear();
+        synchronized (retained) {
+            retained.clear();
         }
         ConfigurationState restored = state.configuration();
-        announce(new ApplyResult.ChangeResult(
+        notifyListeners(new ApplyResult.ChangeResult(
                 restored.lastChangeId(),
                 restored.lastOperator(),
                 restored.current().version(),
@@ -248,20 +206,11 @@
         readOnce();
     }
 
-    /**
-     * Does something after the time between a failed read and the next.
-     *
-     * @param action What to do.
-     */
-    private void later(Runnable action) {
+    /** Runs an action after the retry delay. */
+    private void runLater(Runnable action) {
         vertx.setTimer(RETRY_MILLIS, timer -> context.runOnContext(ignored -> action.run()));
     }
 
-    /**
-     * Applies entries and publishes what follows.
-     *
-     * @param entries The entries.
-     */
     private void applyAll(List<PlatformLog.StoredEntry> entries) {
         for (PlatformLog.StoredEntry entry : entries) {
             if (entry.offset() == state.offset() + 1) {
@@ -273,57 +222,42 @@
         }
     }
 
-    /**
-     * Applies one entry.
-     *
-     * @param entry The entry.
-     */
     private void apply(PlatformLog.StoredEntry entry) {
-        keep(entry);
+        retain(entry);
         try {
-            List<ApplyResult> effects =
+            List<ApplyResult> results =
                     state.apply(entry.offset(), entry.appendedAtMillis(), LogCodec.read(entry.payload()));
-            effects.forEach(this::announce);
+            results.forEach(this::notifyListeners);
         } catch (CranberrygaugeException exception) {
             state.skip(entry.offset());
             events.emit(new LogEvents.EntryUnreadable(entry.offset(), exception.getMessage()));
         }
     }
 
-    /**
-     * Tells the listeners of an effect.
-     *
-     * @param effect The effect.
-     */
-    private void announce(ApplyResult effect) {
-        if (effect instanceof ApplyResult.ChangeResult judged) {
-            if (judged.verdict() == ConfigurationState.Verdict.ACCEPTED) {
+    private void notifyListeners(ApplyResult result) {
+        if (result instanceof ApplyResult.ChangeResult change) {
+            if (change.verdict() == ConfigurationState.Verdict.ACCEPTED) {
                 keys = KeyIndex.of(state.configuration().current().configuration());
                 publish();
             }
             events.emit(new LogEvents.ConfigurationJudged(
-                    judged.offset(), judged.changeId(), judged.operator(), judged.verdict()));
+                    change.offset(), change.changeId(), change.operator(), change.verdict()));
         }
-        listeners.forEach(listener -> listener.accept(effect));
+        listeners.forEach(listener -> listener.accept(result));
     }
 
-    /** Publishes the sections. */
     private void publish() {
-        blackboard.publish(
+        processState.publish(
                 new LogDerivedState(state.configuration(), keys, state.lease(), state.members(), state.drains()));
-        blackboard.publish(new LogPosition(state.offset(), blackboard.position().endReadAtMillis()));
+        processState.publish(
+                new LogPosition(state.offset(), processState.position().endReadAtMillis()));
     }
 
-    /**
-     * Keeps an entry for peers.
-     *
-     * @param entry The entry.
-     */
-    private void keep(PlatformLog.StoredEntry entry) {
-        synchronized (kept) {
-            kept.addLast(entry);
-            if (kept.size() > KEPT_ENTRIES) {
-                kept.removeFirst();
+    private void retain(PlatformLog.StoredEntry entry) {
+        synchronized (retained) {
+            retained.addLast(entry);
+            if (retained.size() > MAX_RETAINED_ENTRIES) {
+                retained.removeFirst();
             }
         }
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotReader.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotReader.java
@@ -10,26 +10,22 @@
 import org.cranberrygauge.protocol.platform.PlatformLog;
 
 /**
- * Finds the newest whole snapshot in what the log still keeps, for a reader that needs entries the log no longer has.
+ * Finds the newest complete snapshot in the part of the log that is still retained, for a reader that needs entries the
+ * log has dropped.
  *
- * <p>Invariants: a snapshot is taken only if the log still keeps all entries after it. Used by one thread.
+ * <p>Invariants: a snapshot is used only if the log still retains all entries after it. Used by one thread.
  */
 public final class SnapshotReader {
 
-    /** The parts of snapshots read so far. */
     private final SnapshotParts parts = new SnapshotParts();
 
-    /** The offset up to which the log was searched. */
+    /** The offset up to which the log has been searched. */
     private long searched;
 
-    /** The newest whole snapshot, or null. */
+    /** The newest complete snapshot, or null. */
     private Snapshot newest;
 
-    /**
-     * Searches a part of the log.
-     *
-     * @param page The part, read after the offset that was searched last.
-     */
+    /** Searches a page, which must have been read after the offset returned by {@link #searched()}. */
     public void take(PlatformLog.Page page) {
         searched = Math.max(searched, page.firstOffset() - 1);
         if (newest != null && newest.offset() + 1 < page.firstOffset()) {
@@ -37,55 +33,34 @@
         }
         for (PlatformLog.StoredEntry entry : page.entries()) {
             searched = entry.offset();
-            takeParts(entry, page.firstOffset());
+            readParts(entry, page.firstOffset());
         }
     }
 
-    /**
-     * Returns the offset after which to read on.
-     *
-     * @return The offset.
-     */
+    /** Returns the offset after which to continue reading. */
     public long searched() {
         return searched;
     }
 
-    /**
-     * Returns the newest whole snapshot found.
-     *
-     * @return The snapshot, or nothing.
-     */
+    /** Returns the newest complete snapshot found, or nothing. */
     public Optional<Snapshot> newest() {
         return Optional.ofNullable(newest);
     }
 
-    /**
-     * Takes the parts of snapshots in an entry.
-     *
-     * @param entry The entry.
-     * @param firstOffset The offset of the oldest entry that the log keeps.
-     */
-    private void takeParts(PlatformLog.StoredEntry entry, long firstOffset) {
+    private void readParts(PlatformLog.StoredEntry entry, long firstOffset) {
         try {
             for (LogRecord record : LogCodec.read(entry.payload()).records()) {
                 if (record instanceof LogRecord.SnapshotPart part && part.throughOffset() + 1 >= firstOffset) {
-                    takeText(parts.take(part));
+                    acceptSnapshot(parts.take(part));
                 }
             }
         } catch (CranberrygaugeException exception) {
-            // An entry that no reader can read changes nothing, and a text that is no snapshot is not one to start
-            // from.
+            // An unreadable entry has no effect on any reader, and an invalid snapshot must not be restored.
             return;
         }
     }
 
-    /**
-     * Takes the text of a whole snapshot.
-     *
-     * @param text The text, or nothing.
-     * @throws CranberrygaugeException If the text is no snapshot.
-     */
-    private void takeText(Optional<String> text) throws CranberrygaugeException {
+    private void acceptSnapshot(Optional<String> text) throws CranberrygaugeException {
         if (text.isEmpty()) {
             return;
         }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotWriter.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotWriter.java
@@ -12,43 +12,30 @@
 import org.cranberrygauge.runtime.event.EventLog;
 
 /**
- * Appends snapshots of what follows from the log, for the lease holder.
+ * Appends snapshots of the state derived from the log, on behalf of the lease holder.
  *
- * <p>Invariants: one snapshot is under way at a time, and its parts are appended one after another so that they leave room
- * for other records. A snapshot is right whoever writes it, so that two holders at once do no harm. Used on the context of
- * the log follower.
+ * <p>Invariants: one snapshot is in flight at a time, and its parts are appended one after another so that other
+ * records are not delayed. A snapshot is valid whoever writes it, so that two concurrent lease holders do no harm. Used
+ * on the context of the log follower.
  */
 public final class SnapshotWriter {
 
-    /** The largest number of characters in a part. */
-    private static final int PART_CHARACTERS = 32_768;
+    /** The largest number of characters in one part. */
+    private static final int MAX_PART_CHARACTERS = 32_768;
 
-    /** The incarnation of this process. */
     private final String incarnation;
 
-    /** Decides when a snapshot is due. */
     private final SnapshotSchedule schedule;
 
-    /** Appends a record. */
     private final Function<LogRecord, Future<Long>> append;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** The snapshot under way. */
-    private Future<Long> underWay = Future.succeededFuture();
+    private Future<Long> inFlight = Future.succeededFuture();
 
-    /** The offset up to which the last snapshot that was begun holds the log. */
-    private long begun;
+    /** The offset covered by the most recently started snapshot. */
+    private long startedOffset;
 
-    /**
-     * Creates a writer.
-     *
-     * @param incarnation The incarnation of this process.
-     * @param schedule Decides when a snapshot is due.
-     * @param append Appends a record.
-     * @param events The event log.
-     */
     public SnapshotWriter(
             String incarnation, SnapshotSchedule schedule, Function<LogRecord, Future<Long>> append, EventLog events) {
         this.incarnation = incarnation;
@@ -57,25 +44,22 @@
         this.events = events;
     }
 
-    /**
-     * Writes a snapshot if one is due and the last one was read back or failed.
-     *
-     * @param state The state machines.
-     */
+    /** Starts a snapshot if one is due and the previous one was read back or failed. */
     public void tick(LogState state) {
-        boolean readBack = underWay.failed() || state.snapshot().throughOffset() >= begun;
+        boolean readBack = inFlight.failed() || state.snapshot().throughOffset() >= startedOffset;
         boolean due = schedule.isDue(state.logTimeMillis(), state.offset(), state.snapshot());
-        if (!underWay.isComplete() || !readBack || !due) {
+        if (!inFlight.isComplete() || !readBack || !due) {
             return;
         }
-        begun = state.offset();
+        startedOffset = state.offset();
         String text = JsonCodec.write(state.export());
-        List<SnapshotPart> parts = SnapshotParts.cut(incarnation + "." + begun, begun, text, PART_CHARACTERS);
+        List<SnapshotPart> parts =
+                SnapshotParts.cut(incarnation + "." + startedOffset, startedOffset, text, MAX_PART_CHARACTERS);
         Future<Long> appended = Future.succeededFuture();
         for (SnapshotPart part : parts) {
             appended = appended.compose(offset -> append.apply(part));
         }
-        underWay = appended;
-        events.emit(new LogEvents.SnapshotBegun(begun, parts.size(), text.length()));
+        inFlight = appended;
+        events.emit(new LogEvents.SnapshotBegun(startedOffset, parts.size(), text.length()));
     }
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/package-info.java
@@ -1,2 +1,2 @@
-/** Following the log and appending to it. */
+/** Reading from and appending to the log. */
 package org.cranberrygauge.runtime.log;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/metrics/MetricsEndpoint.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/metrics/MetricsEndpoint.java
@@ -13,26 +13,18 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Answers with the metrics of a registry.
+ * Serves the metrics of a registry in the Prometheus text format.
  *
  * <p>Safe for use by several threads.
  */
 public final class MetricsEndpoint implements Handler<HttpServerRequest> {
 
-    /** The name of the compression. */
     private static final String GZIP = "gzip";
 
-    /** The writer of the text format. */
     private final PrometheusTextFormatWriter writer = PrometheusTextFormatWriter.create();
 
-    /** The registry. */
     private final PrometheusRegistry registry;
 
-    /**
-     * Creates an endpoint.
-     *
-     * @param registry The registry.
-     */
     public MetricsEndpoint(PrometheusRegistry registry) {
         this.registry = registry;
     }
@@ -48,18 +40,13 @@
         response.end(Buffer.buffer(text(compress)));
     }
 
-    /**
-     * Writes the metrics.
-     *
-     * @param compress Whether to compress them by gzip.
-     * @return The bytes.
-     */
+    /** Returns the metrics in the text format, optionally compressed with gzip. */
     public byte[] text(boolean compress) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (OutputStream output = compress ? new GZIPOutputStream(bytes) : bytes) {
             writer.write(output, registry.scrape());
         } catch (IOException exception) {
-            throw new IllegalStateException("memory can always be written", exception);
+            throw new IllegalStateException("writing to memory cannot fail", exception);
         }
         return bytes.toByteArray();
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/package-info.java
@@ -1,2 +1,5 @@
-/** What the programs share at run time: settings, events, the log, the platform client, metrics and the blackboard. */
+/**
+ * Components shared by the programs at run time: settings, events, the log, the platform client, metrics and shared
+ * state.
+ */
 package org.cranberrygauge.runtime;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/GatewayStatusClient.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/GatewayStatusClient.java
@@ -11,24 +11,18 @@
 import org.cranberrygauge.protocol.generated.GatewayReport;
 
 /**
- * Asks gateways what they know.
+ * Queries gateways for their status reports.
  *
  * <p>Stateless and safe for use by several threads.
  */
 public final class GatewayStatusClient {
 
-    /** The time after which a gateway is given up in milliseconds. */
+    /** The connect and read timeout in milliseconds. */
     private static final int TIMEOUT_MILLIS = 1_000;
 
-    /** Prevents instances. */
     private GatewayStatusClient() {}
 
-    /**
-     * Asks a gateway for its report.
-     *
-     * @param member The gateway.
-     * @return The report, or nothing if it does not answer.
-     */
+    /** Returns the report of a gateway, or nothing if it does not answer. Blocks until then. */
     public static Optional<GatewayReport> ask(GatewayMember member) {
         NetworkAddress address = NetworkAddress.parse(member.address());
         try (TSocket socket = new TSocket(address.host(), address.port(), TIMEOUT_MILLIS);
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/HttpPlatform.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/HttpPlatform.java
@@ -24,42 +24,38 @@
 import org.cranberrygauge.protocol.platform.PlatformMessages;
 
 /**
- * Talks to the platform over HTTP.
+ * An HTTP client of the platform.
  *
- * <p>Invariants: each call ends by its timeout; a call that failed may have taken effect. Safe for use by several threads.
+ * <p>Invariants: each call completes within its timeout; a failed call may have taken effect. Safe for use by several
+ * threads.
  */
 public final class HttpPlatform implements Platform, PlatformLog {
 
-    /** The lowest HTTP status that is no success. */
+    /** The lowest HTTP status that is treated as a failure. */
     private static final int FIRST_FAILURE_STATUS = 300;
 
-    /** The number of connections to the platform. */
-    private static final int CONNECTIONS = 8;
+    /** The largest number of connections to the platform. */
+    private static final int MAX_CONNECTIONS = 8;
 
-    /** The HTTP client. */
     private final HttpClient client;
 
-    /** The context of all calls: a response that is read from another thread may lose its end. */
+    /** The context of all calls. If a response is consumed on another thread, its end event can be missed. */
     private final Context context;
 
-    /** The address of the platform. */
     private final NetworkAddress address;
 
-    /** The time after which a call is given up in milliseconds. */
     private final long timeoutMillis;
 
     /**
      * Creates a client.
      *
-     * @param vertx The Vert.x instance.
-     * @param address The address of the platform.
-     * @param timeoutMillis The time after which a call is given up in milliseconds.
+     * @param timeoutMillis The timeout of a call in milliseconds.
      */
     public HttpPlatform(Vertx vertx, NetworkAddress address, long timeoutMillis) {
         this.context = vertx.getOrCreateContext();
         this.client = vertx.createHttpClient(
                 new HttpClientOptions().setConnectTimeout((int) timeoutMillis),
-                new PoolOptions().setHttp1MaxSize(CONNECTIONS));
+                new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
         this.address = address;
         this.timeoutMillis = timeoutMillis;
     }
@@ -109,25 +105,14 @@
         return post(PlatformMessages.USAGE_PATH, report).<Void>mapEmpty().toCompletionStage();
     }
 
-    /**
-     * Posts a value.
-     *
-     * @param path The path.
-     * @param body The value.
-     * @return The answer's body.
-     */
     private Future<String> post(String path, Object body) {
         return call(HttpMethod.POST, path, Buffer.buffer(JsonCodec.write(body)), timeoutMillis);
     }
 
     /**
-     * Makes a call.
+     * Calls the platform and returns the body of the response.
      *
-     * @param method The method.
-     * @param path The path with its query.
      * @param body The body, or null.
-     * @param callTimeoutMillis The time after which the call is given up in milliseconds.
-     * @return The answer's body.
      */
     private Future<String> call(HttpMethod method, String path, Buffer body, long callTimeoutMillis) {
         RequestOptions options = new RequestOptions()
@@ -147,23 +132,10 @@
         return promise.future();
     }
 
-    /**
-     * Sends a request.
-     *
-     * @param request The request.
-     * @param body The body, or null.
-     * @return The response.
-     */
     private static Future<HttpClientResponse> send(HttpClientRequest request, Buffer body) {
         return body == null ? request.send() : request.send(body);
     }
 
-    /**
-     * Reads the body of a successful response.
-     *
-     * @param response The response.
-     * @return The body.
-     */
     private static Future<String> body(HttpClientResponse response) {
         return response.body().compose(buffer -> {
             if (response.statusCode() >= FIRST_FAILURE_STATUS) {
@@ -174,14 +146,6 @@
         });
     }
 
-    /**
-     * Parses an answer.
-     *
-     * @param text The text.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value.
-     */
     private static <T> Future<T> parse(String text, Class<T> type) {
         try {
             return Future.succeededFuture(JsonCodec.read(text, type));
@@ -190,13 +154,6 @@
         }
     }
 
-    /**
-     * Builds the error of a failed call.
-     *
-     * @param path The path.
-     * @param failure The failure.
-     * @return The error.
-     */
     private static Throwable unavailable(String path, Throwable failure) {
         if (failure instanceof CranberrygaugeException) {
             return failure;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the platform. */
+/** Clients of the platform and of gateways. */
 package org.cranberrygauge.runtime.platform;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/setting/AddressConverter.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/setting/AddressConverter.java
@@ -5,20 +5,15 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
- * Reads an address written as HOST:PORT.
+ * Parses an address of the form HOST:PORT.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public final class AddressConverter implements IStringConverter<NetworkAddress> {
 
-    /** The name of the setting. */
     private final String option;
 
-    /**
-     * Creates a converter.
-     *
-     * @param option The name of the setting.
-     */
+    /** Creates a converter for the named setting. */
     public AddressConverter(String option) {
         this.option = option;
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/setting/PositiveNumber.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/setting/PositiveNumber.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.ParameterException;
 
 /**
- * Checks that a setting is a whole number above zero.
+ * Validates that a setting is an integer greater than zero.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -17,19 +17,12 @@
                 return;
             }
         } catch (NumberFormatException exception) {
-            throw refuse(name, value);
+            throw invalid(name, value);
         }
-        throw refuse(name, value);
+        throw invalid(name, value);
     }
 
-    /**
-     * Builds the error.
-     *
-     * @param name The name of the setting.
-     * @param value The value.
-     * @return The error.
-     */
-    private static ParameterException refuse(String name, String value) {
+    private static ParameterException invalid(String name, String value) {
         return new ParameterException(name + " is \"" + value + "\"; allowed is a whole number above 0");
     }
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/setting/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/setting/package-info.java
@@ -1,2 +1,2 @@
-/** Settings by flags and environment variables. */
+/** Settings from flags and environment variables. */
 package org.cranberrygauge.runtime.setting;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogDerivedState.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogDerivedState.java
@@ -7,22 +7,18 @@
 import org.cranberrygauge.decision.membership.Membership;
 
 /**
- * The sections that follow from the log, published together.
+ * The state derived from the log, published as a whole.
  *
- * @param configuration The configuration in force.
- * @param keys The index of its keys.
- * @param lease The lease.
- * @param members The gateways.
- * @param drains The drains.
+ * @param configuration The current configuration.
+ * @param keys The index of the keys of the current configuration.
+ * @param lease The current lease.
+ * @param members The gateways that are members.
+ * @param drains The drains in progress.
  */
 public record LogDerivedState(
         ConfigurationState configuration, KeyIndex keys, LeaseState lease, Membership members, DrainState drains) {
 
-    /**
-     * Returns the sections before anything was read.
-     *
-     * @return The initial sections.
-     */
+    /** Returns the state before anything was read. */
     public static LogDerivedState initial() {
         return new LogDerivedState(
                 ConfigurationState.initial(),
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogPosition.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogPosition.java
@@ -1,19 +1,15 @@
 package org.cranberrygauge.runtime.state;
 
 /**
- * How far this process has read the log.
+ * The position up to which this process has read the log.
  *
  * @param offset The offset of the last applied entry.
- * @param endReadAtMillis The monotonic time before the read that last reached the log's end.
+ * @param endReadAtMillis The monotonic time before the most recent read that reached the end of the log in
+ *     milliseconds.
  */
 public record LogPosition(long offset, long endReadAtMillis) {
 
-    /**
-     * Takes the greater of each part.
-     *
-     * @param other The other position.
-     * @return The greater position.
-     */
+    /** Returns the greater value of each component. */
     public LogPosition maximum(LogPosition other) {
         return new LogPosition(Math.max(offset, other.offset), Math.max(endReadAtMillis, other.endReadAtMillis));
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/ProcessState.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/ProcessState.java
@@ -9,103 +9,68 @@
 import org.cranberrygauge.model.configuration.Configuration;
 
 /**
- * What one process knows, in immutable sections that are replaced whole.
+ * The state shared by the components of a process, in immutable sections that are replaced as a whole.
  *
- * <p>Invariants: a reader sees each section as some writer published it; each section has one writer, but for the
- * position in the log, which only grows. Safe for use by
- * several threads without locks.
+ * <p>Invariants: a reader sees each section exactly as it was published; each section has one writer, except the
+ * position in the log, which only increases. Safe for use by several threads without locks.
  */
 public final class ProcessState {
 
-    /** The sections that follow from the log. */
     private final AtomicReference<LogDerivedState> log = new AtomicReference<>(LogDerivedState.initial());
 
-    /** How far the log is read. */
     private final AtomicReference<LogPosition> position;
 
-    /** The backend servers as the platform lists them. */
+    /** The backend servers as listed by the platform. */
     private final AtomicReference<List<ListedBackendServer>> listed = new AtomicReference<>(List.of());
 
-    /** The last report of each peer, by host. */
+    /** The last report of each peer by host. */
     private final Map<String, PeerReport> peers = new ConcurrentHashMap<>();
 
     /**
-     * Creates a blackboard.
+     * Creates the state before anything was read.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The monotonic time in milliseconds, from which freshness is counted initially.
      */
     public ProcessState(long nowMillis) {
         position = new AtomicReference<>(new LogPosition(0, nowMillis));
     }
 
-    /**
-     * Returns the sections that follow from the log.
-     *
-     * @return The sections.
-     */
+    /** Returns the state derived from the log. */
     public LogDerivedState log() {
         return log.get();
     }
 
-    /**
-     * Returns the configuration in force.
-     *
-     * @return The configuration.
-     */
+    /** Returns the current configuration. */
     public Configuration configuration() {
         return log.get().configuration().current().configuration();
     }
 
-    /**
-     * Publishes the sections that follow from the log.
-     *
-     * @param sections The sections.
-     */
-    public void publish(LogDerivedState sections) {
-        log.set(sections);
+    /** Publishes the state derived from the log. */
+    public void publish(LogDerivedState derivedState) {
+        log.set(derivedState);
     }
 
-    /**
-     * Returns how far the log is read.
-     *
-     * @return The position.
-     */
+    /** Returns the position up to which the log has been read. */
     public LogPosition position() {
         return position.get();
     }
 
-    /**
-     * Publishes how far the log is read; neither part ever falls.
-     *
-     * @param reached The position.
-     */
-    public void publish(LogPosition reached) {
-        position.accumulateAndGet(reached, LogPosition::maximum);
+    /** Publishes the position up to which the log has been read; neither component ever decreases. */
+    public void publish(LogPosition latestPosition) {
+        position.accumulateAndGet(latestPosition, LogPosition::maximum);
     }
 
-    /**
-     * Returns the backend servers as the platform lists them.
-     *
-     * @return The list.
-     */
+    /** Returns the backend servers as listed by the platform. */
     public List<ListedBackendServer> listed() {
         return listed.get();
     }
 
-    /**
-     * Publishes the backend servers as the platform lists them.
-     *
-     * @param servers The list.
-     */
+    /** Publishes the backend servers as listed by the platform. */
     public void publish(List<ListedBackendServer> servers) {
         listed.set(List.copyOf(servers));
     }
 
-    /**
-     * Returns the last report of each peer.
-     *
-     * @return The reports by host.
-     */
+    /** Returns the last report of each peer by host. The map may be modified concurrently. */
     public Map<String, PeerReport> peers() {
         return peers;
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/package-info.java
@@ -1,2 +1,2 @@
-/** The immutable sections that controllers read and write. */
+/** The state shared by the components of a process. */
 package org.cranberrygauge.runtime.state;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/time/TimeSource.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/time/TimeSource.java
@@ -2,26 +2,17 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Gives the present time to executors, which hand it to deciding functions. */
+/** Supplies the current time, which is passed to decision functions as an argument. */
 public interface TimeSource {
 
-    /**
-     * Returns the monotonic time of this process.
-     *
-     * @return The time in milliseconds since an arbitrary origin.
-     */
+    /** Returns the monotonic time of this process in milliseconds since an arbitrary origin. */
     long monotonicMillis();
 
-    /**
-     * Returns the time of day.
-     *
-     * @return The time in milliseconds of the epoch.
-     */
+    /** Returns the wall-clock time in milliseconds since the epoch. */
     long wallMillis();
 
     /** The clocks of the operating system. */
     enum System implements TimeSource {
-        /** The only instance. */
         INSTANCE;
 
         @Override
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/time/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/time/package-info.java
@@ -1,2 +1,2 @@
-/** The sources of time that executors hand to deciding functions. */
+/** Sources of the time that is passed to decision functions. */
 package org.cranberrygauge.runtime.time;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/CertificateFiles.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/CertificateFiles.java
@@ -11,7 +11,7 @@
 /**
  * The files of a certificate and its private key.
  *
- * <p>Immutable and safe for use by several threads; each read gives what the files hold then.
+ * <p>Immutable and safe for use by several threads; each read returns the current content of the files.
  *
  * @param certificate The PEM file with the certificate chain.
  * @param key The PEM file with the private key.
@@ -21,21 +21,12 @@
     /**
      * Reads both files.
      *
-     * @return What they hold.
-     * @throws SettingException If one can't be read.
+     * @throws SettingException If either cannot be read.
      */
     public Content read() throws SettingException {
         return new Content(bytes("--tls-certificate", certificate), bytes("--tls-key", key));
     }
 
-    /**
-     * Reads a file.
-     *
-     * @param setting The setting that names it.
-     * @param file The file.
-     * @return The bytes.
-     * @throws SettingException If it can't be read.
-     */
     private static Buffer bytes(String setting, Path file) throws SettingException {
         try {
             return Buffer.buffer(Files.readAllBytes(file));
@@ -46,29 +37,18 @@
     }
 
     /**
-     * What the files hold.
-     *
-     * <p>Its text shows no part of the key.
+     * The content of the files.
      *
-     * @param chain The certificate chain.
-     * @param privateKey The private key.
+     * <p>Its string representation does not contain any part of the key.
      */
     public record Content(Buffer chain, Buffer privateKey) {
 
-        /**
-         * Returns the options for a server.
-         *
-         * @return The options.
-         */
+        /** Returns the options for a server with this certificate. */
         public PemKeyCertOptions options() {
             return new PemKeyCertOptions().setCertValue(chain).setKeyValue(privateKey);
         }
 
-        /**
-         * Names the certificate chain.
-         *
-         * @return The SHA-256 of the file.
-         */
+        /** Returns the SHA-256 digest of the certificate file. */
         public String fingerprint() {
             return KeyDigest.digest(chain.getBytes());
         }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/CertificateReloader.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/CertificateReloader.java
@@ -8,87 +8,63 @@
 import org.cranberrygauge.runtime.setting.SettingException;
 
 /**
- * Lets a server use replaced certificates for new connections; open ones are not touched.
+ * Applies replaced certificates to new connections of a server; open connections are not affected.
  *
- * <p>Invariants: files that can't be used leave the certificate before in use. Looks happen one at a time.
+ * <p>Invariants: if the files cannot be used, the previous certificate remains in use. Checks run one at a time.
  */
 public final class CertificateReloader {
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The files. */
     private final CertificateFiles files;
 
-    /** The server. */
     private final HttpServer server;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** What the files held when they were last tried. */
-    private volatile CertificateFiles.Content tried;
+    /** The content of the files when they were last applied, successfully or not. */
+    private volatile CertificateFiles.Content lastTried;
 
-    /**
-     * Creates a reloader.
-     *
-     * @param vertx The Vert.x instance.
-     * @param files The files.
-     * @param inUse What the server was started with.
-     * @param server The server.
-     * @param events The event log.
-     */
     public CertificateReloader(
             Vertx vertx, CertificateFiles files, CertificateFiles.Content inUse, HttpServer server, EventLog events) {
         this.vertx = vertx;
         this.files = files;
-        this.tried = inUse;
+        this.lastTried = inUse;
         this.server = server;
         this.events = events;
     }
 
     /**
-     * Starts to look at the files again and again.
+     * Starts checking the files periodically.
      *
-     * @param intervalMillis The time between two looks in milliseconds.
+     * @param intervalMillis The delay between two checks in milliseconds.
      */
     public void start(long intervalMillis) {
-        vertx.setTimer(intervalMillis, timer -> look().onComplete(done -> start(intervalMillis)));
+        vertx.setTimer(intervalMillis, timer -> checkFiles().onComplete(done -> start(intervalMillis)));
     }
 
     /**
-     * Looks at the files once.
+     * Checks the files once.
      *
-     * @return Completes with whether a new certificate is in use.
+     * @return Whether a new certificate was applied.
      */
-    public Future<Boolean> look() {
-        return vertx.executeBlocking(this::read).compose(this::use).otherwise(failure -> {
+    public Future<Boolean> checkFiles() {
+        return vertx.executeBlocking(this::read).compose(this::applyIfChanged).otherwise(failure -> {
             events.emit(new TlsEvents.CertificateRefused(String.valueOf(failure.getMessage())));
             return false;
         });
     }
 
-    /**
-     * Reads the files.
-     *
-     * @return What they hold.
-     * @throws SettingException If one can't be read.
-     */
     private CertificateFiles.Content read() throws SettingException {
         return files.read();
     }
 
-    /**
-     * Uses what the files hold if it is new.
-     *
-     * @param content What the files hold.
-     * @return Completes with whether it is in use now.
-     */
-    private Future<Boolean> use(CertificateFiles.Content content) {
-        if (content.equals(tried)) {
+    /** Applies the content of the files if it has changed. */
+    private Future<Boolean> applyIfChanged(CertificateFiles.Content content) {
+        if (content.equals(lastTried)) {
             return Future.succeededFuture(false);
         }
-        tried = content;
+        lastTried = content;
         return server.updateSSLOptions(new ServerSSLOptions().setKeyCertOptions(content.options()))
                 .map(changed -> {
                     events.emit(new TlsEvents.CertificateReloaded(content.fingerprint()));
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/TlsEvents.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/TlsEvents.java
@@ -2,23 +2,22 @@
 
 import org.cranberrygauge.runtime.event.Event;
 
-/** The events of TLS. */
+/** The events emitted when certificates are reloaded. */
 public final class TlsEvents {
 
-    /** Prevents instances. */
     private TlsEvents() {}
 
     /**
-     * A replaced certificate is used by new connections; open ones go on.
+     * A replaced certificate is now used for new connections; open connections are not affected.
      *
-     * @param fingerprint The SHA-256 of the file with the certificate chain.
+     * @param fingerprint The SHA-256 digest of the certificate file in hexadecimal.
      */
     public record CertificateReloaded(String fingerprint) implements Event {}
 
     /**
-     * Replaced files can't be used; the certificate before stays in use.
+     * The replaced certificate files cannot be used; the previous certificate remains in use.
      *
-     * @param reason The reason.
+     * @param reason The error message.
      */
     public record CertificateRefused(String reason) implements Event {}
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/TlsSettings.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/TlsSettings.java
@@ -9,45 +9,34 @@
 /**
  * The settings of TLS.
  *
- * <p>Filled in by the settings parser before any thread starts, and only read afterwards.
+ * <p>Populated by the settings parser before any thread is started, and read-only afterwards.
  */
 public final class TlsSettings {
 
-    /** The file with the certificate. */
     @Parameter(
             names = "--tls-certificate",
             description = "PEM file with the certificate chain; turns TLS on for callers")
     private Path certificate;
 
-    /** The file with the private key. */
     @Parameter(names = "--tls-key", description = "PEM file with the private key of the certificate")
     private Path key;
 
-    /** The time between two looks at the files. */
     @Parameter(
             names = "--tls-reload-millis",
             validateWith = PositiveNumber.class,
-            description = "Milliseconds between two looks whether the files of TLS were replaced")
+            description = "Milliseconds between two checks for replaced TLS files")
     private long reloadMillis = 10_000;
 
-    /** Creates settings without TLS. */
     public TlsSettings() {}
 
-    /**
-     * Creates settings.
-     *
-     * @param certificate The file with the certificate.
-     * @param key The file with the private key.
-     */
     TlsSettings(Path certificate, Path key) {
         this.certificate = certificate;
         this.key = key;
     }
 
     /**
-     * Returns the files, if TLS is on.
+     * Returns the files if TLS is enabled.
      *
-     * @return The files, or nothing.
      * @throws SettingException If only one of them is set.
      */
     public Optional<CertificateFiles> files() throws SettingException {
@@ -61,11 +50,7 @@
         return Optional.of(new CertificateFiles(certificate, key));
     }
 
-    /**
-     * Returns the time between two looks at the files.
-     *
-     * @return The time in milliseconds.
-     */
+    /** Returns the delay between two checks of the files in milliseconds. */
     public long reloadMillis() {
         return reloadMillis;
     }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/package-info.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/tls/package-info.java
@@ -1,2 +1,2 @@
-/** TLS by settings, with certificates that can be replaced while connections stay open. */
+/** TLS settings, and certificates that can be replaced while connections remain open. */
 package org.cranberrygauge.runtime.tls;
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/event/BoundedEventLogTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/event/BoundedEventLogTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void dropsWhatExceedsTheRateAndTellsHowMuch() {
+    void dropsEventsAboveTheRateLimitAndReportsTheirNumber() {
         for (int number = 0; number < 10; number++) {
             log.emit(new Happened(number));
         }
@@ -57,12 +57,12 @@
         now.addAndGet(1_000);
         log.emit(new Happened(0));
         log.writeWaiting();
-        long told = output.toString(StandardCharsets.UTF_8)
+        long reportedDrops = output.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.contains("event=events_dropped"))
                 .mapToLong(line -> Long.parseLong(line.substring(line.lastIndexOf('=') + 1)))
                 .sum();
-        assertThat(told).isEqualTo(4_997);
+        assertThat(reportedDrops).isEqualTo(4_997);
     }
 
     record Happened(int number) implements Event {}
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/event/EventRingBufferTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/event/EventRingBufferTest.java
@@ -7,33 +7,33 @@
 
 class EventRingBufferTest {
 
-    private final EventRingBuffer ring = new EventRingBuffer(3, () -> 42);
+    private final EventRingBuffer buffer = new EventRingBuffer(3, () -> 42);
 
     @Test
     void the_events_of_a_request_are_found_in_their_order() {
-        ring.emit(new Started("one", "engine-1"));
-        ring.emit(new Started("two", "engine-1"));
-        ring.emit(new Refused("one", "overloaded"));
-        assertThat(ring.about("one")).extracting(EventRingBuffer.Entry::event).containsExactly("started", "refused");
-        assertThat(ring.about("engine-1")).hasSize(2);
-        assertThat(ring.about("one").get(1).fields()).containsEntry("reason", "overloaded");
+        buffer.emit(new Started("one", "engine-1"));
+        buffer.emit(new Started("two", "engine-1"));
+        buffer.emit(new Refused("one", "overloaded"));
+        assertThat(buffer.about("one")).extracting(EventRingBuffer.Entry::event).containsExactly("started", "refused");
+        assertThat(buffer.about("engine-1")).hasSize(2);
+        assertThat(buffer.about("one").get(1).fields()).containsEntry("reason", "overloaded");
     }
 
     @Test
     void only_the_newest_events_are_kept() {
         for (int number = 0; number < 10; number++) {
-            ring.emit(new Started("request-" + number, "engine-1"));
+            buffer.emit(new Started("request-" + number, "engine-1"));
         }
-        assertThat(ring.about("engine-1")).hasSize(3);
-        assertThat(ring.about("request-0")).isEmpty();
-        assertThat(ring.about("request-9")).hasSize(1);
+        assertThat(buffer.about("engine-1")).hasSize(3);
+        assertThat(buffer.about("request-0")).isEmpty();
+        assertThat(buffer.about("request-9")).hasSize(1);
     }
 
     @Test
     void a_compound_log_passes_each_event_to_all_parts() {
         EventRingBuffer other = new EventRingBuffer(3, () -> 1);
-        new EventLog.Compound(List.of(ring, other)).emit(new Started("one", "engine-1"));
-        assertThat(ring.about("one")).hasSize(1);
+        new EventLog.Compound(List.of(buffer, other)).emit(new Started("one", "engine-1"));
+        assertThat(buffer.about("one")).hasSize(1);
         assertThat(other.about("one")).hasSize(1);
     }
 
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/log/SnapshotsTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/log/SnapshotsTest.java
@@ -69,24 +69,24 @@
     }
 
     @Test
-    void a_follower_that_starts_after_the_beginning_was_dropped_goes_on_from_the_snapshot() throws Exception {
+    void a_follower_that_starts_after_the_beginning_was_dropped_restores_the_snapshot() throws Exception {
         fill();
         writer(new SnapshotSchedule.Periodic(1)).tick(state);
         append(new LogRecord.GatewayJoined("late", "host-late", "d", "a:9"));
         log.subList(0, 5).clear();
         Vertx vertx = Vertx.vertx();
-        ProcessState blackboard = new ProcessState(0);
+        ProcessState processState = new ProcessState(0);
         CountDownLatch atEnd = new CountDownLatch(1);
         LogFollower follower =
-                new LogFollower(vertx, new KeptLog(atEnd), blackboard, TimeSource.System.INSTANCE, events);
+                new LogFollower(vertx, new RetainedLog(atEnd), processState, TimeSource.System.INSTANCE, events);
         follower.start();
 
         assertThat(atEnd.await(10, TimeUnit.SECONDS)).isTrue();
         follower.stop();
         vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-        assertThat(blackboard.log().members().contains("late")).isTrue();
-        assertThat(blackboard.log().members().contains("g")).isTrue();
-        assertThat(blackboard.log().lease()).isEqualTo(state.lease());
+        assertThat(processState.log().members().contains("late")).isTrue();
+        assertThat(processState.log().members().contains("g")).isTrue();
+        assertThat(processState.log().lease()).isEqualTo(state.lease());
     }
 
     private void fill() {
@@ -135,11 +135,11 @@
         }
     }
 
-    private final class KeptLog implements PlatformLog {
+    private final class RetainedLog implements PlatformLog {
 
         private final CountDownLatch atEnd;
 
-        private KeptLog(CountDownLatch atEnd) {
+        private RetainedLog(CountDownLatch atEnd) {
             this.atEnd = atEnd;
         }
 
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/tls/CertificateReloaderTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/tls/CertificateReloaderTest.java
@@ -36,7 +36,7 @@
 
     private final SelfSignedCertificate second = SelfSignedCertificate.create("localhost");
 
-    private final EventRingBuffer ring = new EventRingBuffer(8, () -> 1);
+    private final EventRingBuffer events = new EventRingBuffer(8, () -> 1);
 
     private final Promise<HttpServerResponse> slow = Promise.promise();
 
@@ -67,7 +67,7 @@
                 })
                 .listen(0, "localhost")
                 .await();
-        reloader = new CertificateReloader(vertx, files, content, server, ring);
+        reloader = new CertificateReloader(vertx, files, content, server, events);
     }
 
     @AfterEach
@@ -82,28 +82,28 @@
         Future<Buffer> open = get(first, "/slow");
         HttpServerResponse running = slow.future().await();
         install(second);
-        assertThat(reloader.look().await()).isTrue();
+        assertThat(reloader.checkFiles().await()).isTrue();
         assertThat(get(second, "/").await()).isEqualTo(Buffer.buffer("whole"));
         assertThatThrownBy(() -> get(first, "/").await()).isInstanceOf(Exception.class);
         running.end("end");
         assertThat(open.await()).isEqualTo(Buffer.buffer("begin end"));
-        assertThat(ring.about(files.read().fingerprint())).hasSize(1);
+        assertThat(events.about(files.read().fingerprint())).hasSize(1);
     }
 
     @Test
-    void files_that_cannot_be_used_leave_the_certificate_before_in_use() throws Exception {
+    void files_that_cannot_be_used_leave_the_previous_certificate_in_use() throws Exception {
         Files.writeString(files.certificate(), "no certificate");
-        assertThat(reloader.look().await()).isFalse();
+        assertThat(reloader.checkFiles().await()).isFalse();
         assertThat(get(first, "/").await()).isEqualTo(Buffer.buffer("whole"));
     }
 
     @Test
     void files_that_did_not_change_are_not_loaded_again() {
-        assertThat(reloader.look().await()).isFalse();
+        assertThat(reloader.checkFiles().await()).isFalse();
     }
 
     @Test
-    void a_certificate_without_its_key_is_a_wrong_setting() {
+    void a_certificate_without_its_key_is_an_invalid_setting() {
         assertThatThrownBy(() -> new TlsSettings(files.certificate(), null).files())
                 .isInstanceOf(SettingException.class)
                 .hasMessageContaining("--tls-key is missing");
