--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControlAppender.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControlAppender.java
@@ -9,70 +9,55 @@
 import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
- * Appends the records of control, at most one of each purpose at a time.
+ * Appends control records to the log, with at most one record per key in flight.
  *
- * <p>Invariants: a purpose is free again only once its record was read back or was not taken, so that each decision sees
- * the effect of the one before it; so the number of records that wait in a log outage is the number of purposes, however
- * long it lasts. Safe for use by several threads.
+ * <p>Invariants: a key becomes free only after its record has been read back or its append has failed, so that each
+ * decision sees the effect of the previous one. The number of records that queue up during a log outage is therefore
+ * bounded by the number of keys, however long the outage lasts. Safe for use by several threads.
  */
 public final class ControlAppender {
 
-    /** The place of a record that is under way. */
-    private static final long UNDER_WAY = Long.MAX_VALUE;
+    /** Stands for the offset of a record whose append is in flight; greater than any offset that can be read. */
+    private static final long IN_FLIGHT = Long.MAX_VALUE;
 
-    /** The appender. */
     private final LogAppender appender;
 
-    /** The blackboard, which tells how far the log is read. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The offset at which the record of each purpose stands. */
+    /** Log offset of the latest record of each key, or {@link #IN_FLIGHT}. */
     private final ConcurrentMap<String, Long> offsets = new ConcurrentHashMap<>();
 
-    /**
-     * Creates an appender.
-     *
-     * @param appender The appender.
-     * @param blackboard The blackboard, which tells how far the log is read.
-     */
-    public ControlAppender(LogAppender appender, ProcessState blackboard) {
+    public ControlAppender(LogAppender appender, ProcessState processState) {
         this.appender = appender;
-        this.blackboard = blackboard;
+        this.processState = processState;
     }
 
-    /**
-     * Tells whether a record of a purpose may be appended.
-     *
-     * @param purpose The purpose.
-     * @return Whether none is under way or unread.
-     */
-    public boolean isFree(String purpose) {
-        Long offset = offsets.get(purpose);
+    /** Returns whether a record with this key may be appended, that is, none is in flight or still to be read back. */
+    public boolean isFree(String key) {
+        Long offset = offsets.get(key);
         if (offset == null) {
             return true;
         }
-        if (offset > blackboard.position().offset()) {
+        if (offset > processState.position().offset()) {
             return false;
         }
-        offsets.remove(purpose, offset);
+        offsets.remove(key, offset);
         return true;
     }
 
     /**
-     * Appends a record unless one of its purpose is under way or unread.
+     * Appends a record unless one with the same key is in flight or still to be read back.
      *
-     * @param purpose The purpose.
-     * @param record The record.
-     * @return The offset of its entry, or nothing if the record was not taken.
+     * @return The future offset of the entry, or empty if the key is not free.
      */
-    public Optional<Future<Long>> append(String purpose, LogRecord record) {
-        long readOffset = blackboard.position().offset();
+    public Optional<Future<Long>> append(String key, LogRecord record) {
+        long readOffset = processState.position().offset();
         offsets.values().removeIf(offset -> offset <= readOffset);
-        if (!isFree(purpose) || offsets.putIfAbsent(purpose, UNDER_WAY) != null) {
+        if (!isFree(key) || offsets.putIfAbsent(key, IN_FLIGHT) != null) {
             return Optional.empty();
         }
         return Optional.of(appender.append(record)
-                .onSuccess(offset -> offsets.put(purpose, offset))
-                .onFailure(failure -> offsets.remove(purpose)));
+                .onSuccess(offset -> offsets.put(key, offset))
+                .onFailure(failure -> offsets.remove(key)));
     }
 }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/Controller.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/Controller.java
@@ -42,134 +42,107 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * One controller, put together.
+ * A controller process. While it holds the lease, it orders backend servers, carries out cleaning, removes gateways
+ * whose hosts are gone and reports usage.
  *
- * <p>Started once and stopped once; decisions run on the context of the log follower.
+ * <p>Started once and stopped once. Decisions run on the context of the log follower.
  */
 public final class Controller {
 
-    /** The time between two decisions in milliseconds. */
     private static final long TICK_MILLIS = 100;
 
-    /** The time between two plans of the fleet in ticks. */
     private static final int TICKS_PER_PLAN = 10;
 
-    /** The time between two questions to a gateway in ticks. */
     private static final int TICKS_PER_POLL = 10;
 
-    /** The age after which the load of a gateway counts for nothing in milliseconds. */
-    private static final long LOAD_AGE_MILLIS = 3_000;
+    /** Older gateway loads are ignored. */
+    private static final long MAX_LOAD_AGE_MILLIS = 3_000;
 
-    /** The longest time a planned stop waits for the log in milliseconds. */
-    private static final long STOP_MILLIS = 1_000;
+    /** Limits how long a planned stop waits for the lease release to be appended. */
+    private static final long STOP_TIMEOUT_MILLIS = 1_000;
 
-    /** The time after which a host that is neither listed nor heard is gone in milliseconds. */
-    private static final long HOST_ABSENCE_MILLIS = 10_000;
+    /** A host that has been neither listed by the platform nor heard from for this long is gone. */
+    private static final long HOST_ABSENCE_TIMEOUT_MILLIS = 10_000;
 
-    /** The purpose of a claim of the lease. */
-    private static final String CLAIM = "lease-claim";
+    private static final String LEASE_CLAIM_KEY = "lease-claim";
 
-    /** The settings. */
     private final ControllerSettings settings;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** The sources of time. */
     private final TimeSource time = TimeSource.System.INSTANCE;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The incarnation. */
     private final String incarnation;
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The follower of the log. */
     private final LogFollower follower;
 
-    /** The appender to the log. */
     private final LogAppender appender;
 
-    /** Appends the records of control. */
     private final ControlAppender controlAppender;
 
-    /** Asks gateways for their load. */
-    private final GatewayLoadPoller poll;
+    private final GatewayLoadPoller gatewayLoadPoller;
 
-    /** Decides whether this controller holds the lease. */
-    private final LeaderElector lease;
+    private final LeaderElector leaderElector;
 
-    /** Sends orders. */
-    private final OrderDispatcher orders;
+    private final OrderDispatcher orderDispatcher;
 
-    /** Reports usage. */
-    private final UsageReporter usage;
+    private final UsageReporter usageReporter;
 
-    /** Carries out the cleaning. */
-    private final CleaningCoordinator cleaning;
+    private final CleaningCoordinator cleaningCoordinator;
 
-    /** Declares gateways gone. */
-    private final MembershipPruner gone;
+    private final MembershipPruner membershipPruner;
 
-    /** Works out the demand. */
-    private final DemandEstimator meter = new DemandEstimator();
+    private final DemandEstimator demandEstimator = new DemandEstimator();
 
-    /** Writes snapshots. */
-    private final SnapshotWriter snapshots;
+    private final SnapshotWriter snapshotWriter;
 
-    /** Whether the lease was held at the last tick. */
-    private boolean held;
+    /** Whether the lease was held at the last tick; used to report changes only. */
+    private boolean leaseHeld;
 
-    /** The number of ticks so far. */
     private long ticks;
 
-    /** Whether a planned stop began. */
     private volatile boolean stopping;
 
-    /**
-     * Creates a controller.
-     *
-     * @param settings The settings.
-     * @param events The event log.
-     */
     public Controller(ControllerSettings settings, EventLog events) {
         this.settings = settings;
         this.events = events;
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         Program.reportUnhandled(vertx, events);
         incarnation = Program.incarnation(settings.hostName(), time.wallMillis());
-        blackboard = new ProcessState(time.monotonicMillis());
+        processState = new ProcessState(time.monotonicMillis());
         HttpPlatform platform = new HttpPlatform(vertx, settings.platformAddress(), settings.platformTimeoutMillis());
-        follower = new LogFollower(vertx, platform, blackboard, time, events);
+        follower = new LogFollower(vertx, platform, processState, time, events);
         appender = new LogAppender(vertx, platform, incarnation);
-        controlAppender = new ControlAppender(appender, blackboard);
-        poll = new GatewayLoadPoller(time);
-        lease = new LeaderElector(incarnation, settings.hostName(), time.monotonicMillis());
-        orders = new OrderDispatcher(
+        controlAppender = new ControlAppender(appender, processState);
+        gatewayLoadPoller = new GatewayLoadPoller(time);
+        leaderElector = new LeaderElector(incarnation, settings.hostName(), time.monotonicMillis());
+        orderDispatcher = new OrderDispatcher(
                 incarnation,
                 new ForecastFleetPlanner(settings.fleetParameters()),
-                lease,
-                blackboard,
+                leaderElector,
+                processState,
                 follower,
                 controlAppender,
                 platform,
                 time,
                 events);
-        usage = new UsageReporter(incarnation, lease, follower, controlAppender, platform, time, events);
-        gone = new MembershipPruner(
-                new GatewayFailureDetector.Unlisted(HOST_ABSENCE_MILLIS),
+        usageReporter =
+                new UsageReporter(incarnation, leaderElector, follower, controlAppender, platform, time, events);
+        membershipPruner = new MembershipPruner(
+                new GatewayFailureDetector.Unlisted(HOST_ABSENCE_TIMEOUT_MILLIS),
                 platform,
                 follower,
-                lease,
+                leaderElector,
                 controlAppender,
                 time,
                 events);
-        cleaning =
-                new CleaningCoordinator(new CleaningPlanner(settings.cleaningMillis()), lease, controlAppender, events);
-        snapshots = new SnapshotWriter(
+        cleaningCoordinator = new CleaningCoordinator(
+                new CleaningPlanner(settings.cleaningMillis()), leaderElector, controlAppender, events);
+        snapshotWriter = new SnapshotWriter(
                 incarnation,
                 new SnapshotSchedule.Periodic(settings.snapshotIntervalMillis()),
                 appender::append,
@@ -179,44 +152,41 @@
     /**
      * Starts the controller.
      *
-     * @return Completes when it listens.
+     * @return Completes when the operations server listens.
      */
     public Future<HttpServer> start() {
-        follower.addListener(orders::accept);
+        follower.addListener(orderDispatcher::accept);
         follower.start();
         vertx.setPeriodic(TICK_MILLIS, timer -> follower.onContext(this::tick));
         return vertx.createHttpServer(new HttpServerOptions()
                         .setHost(settings.operationsAddress().host())
                         .setPort(settings.operationsAddress().port()))
-                .requestHandler(this::answer)
+                .requestHandler(this::respondWithState)
                 .listen()
                 .onSuccess(server ->
                         events.emit(new ControllerEvents.ControllerListening(incarnation, server.actualPort())));
     }
 
-    /** Stops the controller: sends no order any more, gives the lease back and ends. */
+    /** Stops the controller: sends no further orders, releases the lease and closes all connections. */
     public void stop() {
         stopping = true;
         Promise<Void> resigned = Promise.promise();
-        follower.onContext(state -> lease.resign(time.monotonicMillis())
+        follower.onContext(state -> leaderElector
+                .resign(time.monotonicMillis())
                 .map(appender::append)
                 .orElse(Future.succeededFuture())
                 .<Void>mapEmpty()
                 .onComplete(resigned));
         await(resigned.future());
-        poll.stop();
+        gatewayLoadPoller.stop();
         follower.stop();
         vertx.close();
     }
 
-    /**
-     * Waits for a future for a limited time.
-     *
-     * @param future The future.
-     */
+    /** Waits for a future for at most {@link #STOP_TIMEOUT_MILLIS}; reports an event if it fails or times out. */
     private void await(Future<?> future) {
         try {
-            future.toCompletionStage().toCompletableFuture().get(STOP_MILLIS, TimeUnit.MILLISECONDS);
+            future.toCompletionStage().toCompletableFuture().get(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException exception) {
@@ -224,78 +194,64 @@
         }
     }
 
-    /**
-     * Decides and acts once.
-     *
-     * @param state The state machines.
-     */
+    /** Renews the lease and, while it is held, does what is due. Does nothing before the first configuration. */
     private void tick(LogState state) {
         if (stopping || state.configuration().current().version() == 0) {
             return;
         }
         long nowMillis = time.monotonicMillis();
-        lease.observe(nowMillis, state.lease());
-        if (controlAppender.isFree(CLAIM)) {
-            lease.decide(
+        leaderElector.observe(nowMillis, state.lease());
+        if (controlAppender.isFree(LEASE_CLAIM_KEY)) {
+            leaderElector
+                    .decide(
                             nowMillis,
                             state.configuration()
                                     .current()
                                     .configuration()
                                     .times()
                                     .leaseMillis())
-                    .ifPresent(claim -> controlAppender.append(CLAIM, claim));
+                    .ifPresent(claim -> controlAppender.append(LEASE_CLAIM_KEY, claim));
         }
-        boolean holds = lease.holds(nowMillis);
-        if (holds != held) {
-            held = holds;
+        boolean holds = leaderElector.holds(nowMillis);
+        if (holds != leaseHeld) {
+            leaseHeld = holds;
             events.emit(new ControllerEvents.LeaseChanged(
-                    incarnation, held, state.lease().holder(), lease.fencingNumber()));
+                    incarnation, leaseHeld, state.lease().holder(), leaderElector.fencingNumber()));
         }
         if (!holds) {
             return;
         }
-        usage.tick(state);
-        snapshots.tick(state);
+        usageReporter.tick(state);
+        snapshotWriter.tick(state);
         if (ticks % TICKS_PER_POLL == 0) {
-            poll.ask(state.members().all());
+            gatewayLoadPoller.poll(state.members().all());
         }
         if (ticks++ % TICKS_PER_PLAN == 0) {
             plan(nowMillis, state);
         }
     }
 
-    /**
-     * Plans the cleaning and the fleet.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param state The state machines.
-     */
     private void plan(long nowMillis, LogState state) {
         Configuration configuration = state.configuration().current().configuration();
         List<BackendServer> servers = new ArrayList<>(configuration.backendServers());
-        blackboard.listed().stream()
+        processState.listed().stream()
                 .filter(listed -> listed.state() == HostState.LIVE)
                 .map(ListedBackendServer::server)
                 .forEach(servers::add);
-        Map<String, GatewayLoad> loads = poll.loads(nowMillis, LOAD_AGE_MILLIS);
-        gone.tick(state, loads);
-        Map<String, Integer> reserve = cleaning.tick(time.wallMillis(), state, servers, loads);
-        Map<String, ModelDemand> demand = meter.observe(configuration, servers, loads.values());
-        orders.tick(state, demand, reserve);
+        Map<String, GatewayLoad> loads = gatewayLoadPoller.recent(nowMillis, MAX_LOAD_AGE_MILLIS);
+        membershipPruner.tick(state, loads);
+        Map<String, Integer> reserve = cleaningCoordinator.tick(time.wallMillis(), state, servers, loads);
+        Map<String, ModelDemand> demand = demandEstimator.observe(configuration, servers, loads.values());
+        orderDispatcher.tick(state, demand, reserve);
     }
 
-    /**
-     * Answers a request of operations.
-     *
-     * @param request The request.
-     */
-    private void answer(HttpServerRequest request) {
+    private void respondWithState(HttpServerRequest request) {
         JsonObject body = new JsonObject()
                 .put("controller", incarnation)
-                .put("holds_lease", lease.holds(time.monotonicMillis()))
-                .put("fencing_number", blackboard.log().lease().fencingNumber())
+                .put("holds_lease", leaderElector.holds(time.monotonicMillis()))
+                .put("fencing_number", processState.log().lease().fencingNumber())
                 .put("appends_waiting", appender.backlog())
-                .put("log_offset", blackboard.position().offset());
+                .put("log_offset", processState.position().offset());
         request.response().putHeader("Content-Type", "application/json").end(body.toBuffer());
     }
 }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControllerMain.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControllerMain.java
@@ -4,21 +4,15 @@
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.lifecycle.Program;
 
-/**
- * The entry point of the controller.
- *
- * <p>Stateless.
- */
+/** Entry point of the controller. */
 public final class ControllerMain {
 
-    /** The name of the program. */
     private static final String NAME = "cranberrygauge-controller";
 
-    /** Prevents instances. */
     private ControllerMain() {}
 
     /**
-     * Runs a controller until it is told to stop by a signal.
+     * Runs a controller until a signal terminates it.
      *
      * @param arguments The command line.
      */
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/cleaning/CleaningCoordinator.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/cleaning/CleaningCoordinator.java
@@ -22,49 +22,36 @@
 import org.cranberrygauge.runtime.event.EventLog;
 
 /**
- * Carries out what the cleaning planner decides, by records in the log.
+ * Carries out the decisions of the cleaning planner by appending records to the log.
  *
- * <p>Invariants: each record carries the fencing number, so that those of a former holder are void; a backend server has at
- * most one record under way. Used on the context of the log follower, while the lease is held.
+ * <p>Invariants: each record carries the fencing number, so that records of a former lease holder have no effect; a
+ * backend server has at most one record in flight. Used on the context of the log follower, while the lease is held.
  */
 public final class CleaningCoordinator {
 
-    /** The planner. */
     private final CleaningPlanner planner;
 
-    /** Decides whether this controller holds the lease. */
-    private final LeaderElector lease;
+    private final LeaderElector leaderElector;
 
-    /** The appender. */
     private final ControlAppender appender;
 
-    /** The event log. */
     private final EventLog events;
 
-    /**
-     * Creates a desk.
-     *
-     * @param planner The planner.
-     * @param lease Decides whether this controller holds the lease.
-     * @param appender The appender.
-     * @param events The event log.
-     */
     public CleaningCoordinator(
-            CleaningPlanner planner, LeaderElector lease, ControlAppender appender, EventLog events) {
+            CleaningPlanner planner, LeaderElector leaderElector, ControlAppender appender, EventLog events) {
         this.planner = planner;
-        this.lease = lease;
+        this.leaderElector = leaderElector;
         this.appender = appender;
         this.events = events;
     }
 
     /**
-     * Decides and writes what is due.
+     * Decides which cleaning steps are due and appends their records.
      *
-     * @param wallMillis The present time in milliseconds of the epoch.
-     * @param state The state machines.
-     * @param servers The backend servers that are configured or listed as live.
-     * @param loads The recent loads of gateways.
-     * @return The number of backend servers that are needed beyond the demand, by model.
+     * @param wallMillis The current time in milliseconds since the epoch.
+     * @param servers The backend servers that are configured, or listed as live.
+     * @param loads The recent load of each gateway that responded, by gateway.
+     * @return The number of backend servers needed on top of the demand, by model.
      */
     public Map<String, Integer> tick(
             long wallMillis, LogState state, List<BackendServer> servers, Map<String, GatewayLoad> loads) {
@@ -74,61 +61,44 @@
             load.inFlight().forEach((server, count) -> inFlight.merge(server, count, Integer::sum));
             waiting += sum(load.waiting().values());
         }
-        Set<String> silent = new HashSet<>();
-        state.members().all().forEach(member -> silent.add(member.gateway()));
-        silent.removeAll(loads.keySet());
+        Set<String> silentGateways = new HashSet<>();
+        state.members().all().forEach(member -> silentGateways.add(member.gateway()));
+        silentGateways.removeAll(loads.keySet());
         CleaningView view = new CleaningView(
                 state.configuration().current().configuration().cleaningWindows(),
                 servers,
                 state.drains(),
                 inFlight,
                 waiting,
-                silent.isEmpty());
+                silentGateways.isEmpty());
         CleaningPlanner.Decision decision = planner.decide(wallMillis, view);
-        new ArrayList<>(decision.actions()).forEach(this::carryOut);
+        new ArrayList<>(decision.actions()).forEach(this::apply);
         return decision.reserve();
     }
 
-    /**
-     * Carries out an action.
-     *
-     * @param action The action.
-     */
-    private void carryOut(CleaningAction action) {
+    private void apply(CleaningAction action) {
         String server = action.backendServer();
-        long fencing = lease.fencingNumber();
+        long fencing = leaderElector.fencingNumber();
         if (action instanceof CleaningAction.Start start) {
-            write(server, new DrainStarted(start.drainId(), fencing, Set.of(server), "cleaning"), "drain_started");
+            append(server, new DrainStarted(start.drainId(), fencing, Set.of(server), "cleaning"), "drain_started");
         } else if (action instanceof CleaningAction.Suspend suspend) {
-            write(server, new DrainStarted(suspend.drainId(), fencing, Set.of(), suspend.reason()), suspend.reason());
+            append(server, new DrainStarted(suspend.drainId(), fencing, Set.of(), suspend.reason()), suspend.reason());
         } else if (action instanceof CleaningAction.Finish finish) {
-            write(server, new DrainEnded(finish.drainId(), fencing), "cleaned");
+            append(server, new DrainEnded(finish.drainId(), fencing), "cleaned");
         } else if (action instanceof CleaningAction.Release release) {
-            write(server, new DrainEnded(release.drainId(), fencing), "window_over");
+            append(server, new DrainEnded(release.drainId(), fencing), "window_over");
         } else if (action instanceof CleaningAction.Missed missed) {
             events.emit(new ControllerEvents.CleaningMissed(missed.drainId(), server, missed.reason()));
         }
     }
 
-    /**
-     * Writes a record unless one of the backend server is under way.
-     *
-     * @param server The name of the backend server.
-     * @param record The record.
-     * @param step The step that it stands for.
-     */
-    private void write(String server, LogRecord record, String step) {
+    /** Appends a record unless the previous one of the same backend server is in flight or still to be read back. */
+    private void append(String server, LogRecord record, String step) {
         if (appender.append("cleaning:" + server, record).isPresent()) {
             events.emit(new ControllerEvents.CleaningStep(server, step));
         }
     }
 
-    /**
-     * Adds numbers.
-     *
-     * @param counts The numbers.
-     * @return The sum.
-     */
     private static int sum(Collection<Integer> counts) {
         return counts.stream().mapToInt(Integer::intValue).sum();
     }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/cleaning/package-info.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/cleaning/package-info.java
@@ -1,2 +1,2 @@
-/** Carrying out the weekly cleaning. */
+/** Carries out the weekly cleaning of backend servers. */
 package org.cranberrygauge.controller.cleaning;
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/GatewayLoadPoller.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/GatewayLoadPoller.java
@@ -13,51 +13,40 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Asks gateways for their load.
+ * Polls gateways for their load.
  *
- * <p>Invariants: at most one question is under way to each gateway, and a bounded number to all; the time of a load is taken
- * before its question was sent. Safe for use by several threads.
+ * <p>Invariants: at most one request is in flight to each gateway, and at most {@value #THREADS} in total. A load is
+ * dated to the time before its request was sent, so that it never seems newer than it is. Safe for use by several
+ * threads.
  */
 public final class GatewayLoadPoller {
 
-    /** The number of gateways that are asked at once. */
     private static final int THREADS = 4;
 
-    /** The threads that ask. */
-    private final ExecutorService threads = Executors.newFixedThreadPool(THREADS, work -> {
+    private final ExecutorService executor = Executors.newFixedThreadPool(THREADS, work -> {
         Thread created = new Thread(work, "gateway-poll");
         created.setDaemon(true);
         return created;
     });
 
-    /** The gateways that are being asked. */
-    private final Map<String, Boolean> asked = new ConcurrentHashMap<>();
+    private final Map<String, Boolean> inFlight = new ConcurrentHashMap<>();
 
-    /** The last load of each gateway. */
     private final Map<String, GatewayLoad> loads = new ConcurrentHashMap<>();
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /**
-     * Creates a poll.
-     *
-     * @param time The sources of time.
-     */
     public GatewayLoadPoller(TimeSource time) {
         this.time = time;
     }
 
     /**
-     * Asks each gateway that is not being asked, and forgets those that are no members.
-     *
-     * @param members The gateways that joined and did not leave.
+     * Polls each gateway that has no request in flight, and drops the loads of gateways that are no longer members.
      */
-    public void ask(Collection<GatewayMember> members) {
+    public void poll(Collection<GatewayMember> members) {
         loads.keySet().retainAll(members.stream().map(GatewayMember::gateway).toList());
         for (GatewayMember member : members) {
-            if (asked.putIfAbsent(member.gateway(), true) == null) {
-                threads.execute(() -> ask(member));
+            if (inFlight.putIfAbsent(member.gateway(), true) == null) {
+                executor.execute(() -> query(member));
             }
         }
     }
@@ -65,48 +54,36 @@
     /**
      * Returns the loads that are not older than a limit.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param ageMillis The limit in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param maxAgeMillis The limit in milliseconds.
      * @return The loads by gateway.
      */
-    public Map<String, GatewayLoad> loads(long nowMillis, long ageMillis) {
+    public Map<String, GatewayLoad> recent(long nowMillis, long maxAgeMillis) {
         Map<String, GatewayLoad> recent = new HashMap<>(loads);
-        recent.values().removeIf(load -> nowMillis - load.atMillis() > ageMillis);
+        recent.values().removeIf(load -> nowMillis - load.atMillis() > maxAgeMillis);
         return recent;
     }
 
-    /** Stops to ask. */
+    /** Stops polling and interrupts requests in flight. */
     public void stop() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 
-    /**
-     * Asks a gateway.
-     *
-     * @param member The gateway.
-     */
-    private void ask(GatewayMember member) {
-        long askedAtMillis = time.monotonicMillis();
+    private void query(GatewayMember member) {
+        long requestedAtMillis = time.monotonicMillis();
         try {
             GatewayStatusClient.ask(member)
                     .filter(report -> report.getGateway().equals(member.gateway()))
-                    .ifPresent(report -> loads.put(member.gateway(), load(askedAtMillis, report)));
+                    .ifPresent(report -> loads.put(member.gateway(), load(requestedAtMillis, report)));
         } finally {
-            asked.remove(member.gateway());
+            inFlight.remove(member.gateway());
         }
     }
 
-    /**
-     * Reads the load from a report.
-     *
-     * @param askedAtMillis The monotonic time before the question was sent.
-     * @param report The report.
-     * @return The load.
-     */
-    private static GatewayLoad load(long askedAtMillis, GatewayReport report) {
+    private static GatewayLoad load(long requestedAtMillis, GatewayReport report) {
         return new GatewayLoad(
                 report.getGateway(),
-                askedAtMillis,
+                requestedAtMillis,
                 report.isSetSignals() ? report.getSignals() : Map.of(),
                 report.getWaiting(),
                 report.getInFlight());
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/package-info.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** What the controller asks of gateways. */
+/** Polling gateways for their load. */
 package org.cranberrygauge.controller.gateway;
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/MembershipPruner.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/MembershipPruner.java
@@ -16,100 +16,76 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Declares gateways gone whose hosts the platform no longer lists, so that changes can be accepted without them.
+ * Removes gateways from membership when the platform no longer lists their hosts, so that configuration changes need
+ * not wait for their confirmation.
  *
- * <p>Invariants: a gateway is declared gone only while the lease is held, and at most once while its record is unread; an
- * outage of the platform makes none gone. Used on the context of the log follower.
+ * <p>Invariants: a gateway is removed only while the lease is held, and only once while its record is still to be read
+ * back; a platform outage removes none. Used on the context of the log follower.
  */
 public final class MembershipPruner {
 
-    /** The start of the purposes under which records are appended. */
-    private static final String PURPOSE = "gateway-gone ";
+    private static final String KEY_PREFIX = "gateway-gone ";
 
-    /** Decides which gateways are gone. */
-    private final GatewayFailureDetector rule;
+    private final GatewayFailureDetector failureDetector;
 
-    /** The platform. */
     private final Platform platform;
 
-    /** The follower, on whose context answers are taken. */
     private final LogFollower follower;
 
-    /** Decides whether this controller holds the lease. */
-    private final LeaderElector lease;
+    private final LeaderElector leaderElector;
 
-    /** Appends the records of control. */
     private final ControlAppender appender;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** When hosts were last listed and heard. */
-    private final HostLivenessTracker sightings = new HostLivenessTracker();
+    private final HostLivenessTracker livenessTracker = new HostLivenessTracker();
 
-    /**
-     * Creates a desk.
-     *
-     * @param rule Decides which gateways are gone.
-     * @param platform The platform.
-     * @param follower The follower, on whose context answers are taken.
-     * @param lease Decides whether this controller holds the lease.
-     * @param appender Appends the records of control.
-     * @param time The sources of time.
-     * @param events The event log.
-     */
     public MembershipPruner(
-            GatewayFailureDetector rule,
+            GatewayFailureDetector failureDetector,
             Platform platform,
             LogFollower follower,
-            LeaderElector lease,
+            LeaderElector leaderElector,
             ControlAppender appender,
             TimeSource time,
             EventLog events) {
-        this.rule = rule;
+        this.failureDetector = failureDetector;
         this.platform = platform;
         this.follower = follower;
-        this.lease = lease;
+        this.leaderElector = leaderElector;
         this.appender = appender;
         this.time = time;
         this.events = events;
     }
 
     /**
-     * Notes the gateways that were heard, and reads the platform's list.
+     * Records which gateways responded, and requests the platform's list of hosts in order to remove gateways.
      *
-     * @param state The state machines.
-     * @param loads The gateways that answered lately.
+     * @param loads The gateways that responded recently.
      */
     public void tick(LogState state, Map<String, GatewayLoad> loads) {
         for (GatewayMember member : state.members().all()) {
             GatewayLoad load = loads.get(member.gateway());
             if (load != null) {
-                sightings.heard(load.atMillis(), member.host());
+                livenessTracker.heard(load.atMillis(), member.host());
             }
         }
         platform.entryHosts()
                 .thenAccept(hosts -> follower.onContext(later -> {
-                    sightings.listed(time.monotonicMillis(), hosts);
-                    declare(later);
+                    livenessTracker.listed(time.monotonicMillis(), hosts);
+                    removeFailedGateways(later);
                 }));
     }
 
-    /**
-     * Appends the end of the gateways that are gone.
-     *
-     * @param state The state machines.
-     */
-    private void declare(LogState state) {
+    private void removeFailedGateways(LogState state) {
         long nowMillis = time.monotonicMillis();
-        if (!lease.holds(nowMillis)) {
+        if (!leaderElector.holds(nowMillis)) {
             return;
         }
-        for (GatewayLeft left : rule.decide(nowMillis, state.members(), sightings.of(nowMillis, state.members()))) {
-            appender.append(PURPOSE + left.gateway(), left)
+        for (GatewayLeft left :
+                failureDetector.decide(nowMillis, state.members(), livenessTracker.of(nowMillis, state.members()))) {
+            appender.append(KEY_PREFIX + left.gateway(), left)
                     .ifPresent(appended ->
                             events.emit(new ControllerEvents.GatewayDeclaredGone(left.gateway(), left.reason())));
         }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/package-info.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Declaring gateways gone whose hosts failed. */
+/** Removal of gateways whose hosts failed. */
 package org.cranberrygauge.controller.membership;
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/OrderDispatcher.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/OrderDispatcher.java
@@ -27,87 +27,62 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Sends orders to the platform.
+ * Sends orders for backend servers to the platform.
  *
- * <p>Invariants: an order is sent only after its intent was read back with the fencing number in force, and only while the
- * lease lasts longer than the order's deadline; a pool has at most one order under way; a new holder waits out the longest
- * deadline before it orders, and then goes by what the platform lists; the rate of orders is bounded, also where a data centre
- * has no supply. Used on the context of the log follower.
+ * <p>Invariants: an order is sent only after its intent has been read back with the current fencing number, and only
+ * while the lease lasts longer than the order timeout. A pool has at most one order in flight. A new lease holder waits
+ * for one order timeout before its first order, so that no order of its predecessor is pending, and then relies on what
+ * the platform lists. The order rate is bounded, even if a data centre has no supply. Used on the context of the log
+ * follower.
  */
 public final class OrderDispatcher {
 
-    /** The result of an order whose answer did not come. */
+    /** The result of an order that the platform did not answer. */
     private static final String UNKNOWN = "unknown";
 
-    /** The highest number of orders in a minute. */
     private static final int ORDERS_PER_MINUTE = 60;
 
-    /** The time for which the list of the platform may lag behind an answered order in milliseconds. */
-    private static final long LIST_LAG_MILLIS = 2_000;
+    /** The platform's list may omit the effect of an answered order for this long. */
+    private static final long MAX_LIST_LAG_MILLIS = 2_000;
 
-    /** The incarnation of this controller. */
     private final String incarnation;
 
-    /** Decides the sizes of pools. */
     private final FleetPlanner planner;
 
-    /** Decides whether this controller holds the lease. */
-    private final LeaderElector lease;
+    private final LeaderElector leaderElector;
 
-    /** The blackboard. */
-    private final ProcessState blackboard;
+    private final ProcessState processState;
 
-    /** The follower, on whose context answers are taken. */
     private final LogFollower follower;
 
-    /** The appender. */
     private final ControlAppender appender;
 
-    /** The platform. */
     private final Platform platform;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** Bounds the rate of orders. */
-    private final OrderRateLimiter pacing = new OrderRateLimiter(ORDERS_PER_MINUTE);
+    private final OrderRateLimiter rateLimiter = new OrderRateLimiter(ORDERS_PER_MINUTE);
 
-    /** The sizes of pools that the platform stated in its answers, where its list may lag. */
-    private final Map<String, Answered> answered = new HashMap<>();
+    /** Pool sizes that the platform reported in its answers, used until the list has caught up. */
+    private final Map<String, ReportedSize> reportedSizes = new HashMap<>();
 
-    /** The pools with an order under way. */
-    private final Set<String> busyPools = new HashSet<>();
+    private final Set<String> poolsInFlight = new HashSet<>();
 
-    /** The fencing number for which the wait of a new holder runs or ran. */
-    private long waitedFencing;
+    /** The fencing number of the lease for which {@link #waitUntilMillis} was set. */
+    private long waitFencingNumber;
 
-    /** The monotonic time until which a new holder waits. */
+    /** The monotonic time until which a new lease holder sends no orders. */
     private long waitUntilMillis;
 
-    /** The number of orders so far. */
-    private long orders;
+    private long orderCount;
 
-    /**
-     * Creates a desk.
-     *
-     * @param incarnation The incarnation of this controller.
-     * @param planner Decides the sizes of pools.
-     * @param lease Decides whether this controller holds the lease.
-     * @param blackboard The blackboard.
-     * @param follower The follower, on whose context answers are taken.
-     * @param appender The appender.
-     * @param platform The platform.
-     * @param time The sources of time.
-     * @param events The event log.
-     */
     public OrderDispatcher(
             String incarnation,
             FleetPlanner planner,
-            LeaderElector lease,
-            ProcessState blackboard,
+            LeaderElector leaderElector,
+            ProcessState processState,
             LogFollower follower,
             ControlAppender appender,
             Platform platform,
@@ -115,8 +90,8 @@
             EventLog events) {
         this.incarnation = incarnation;
         this.planner = planner;
-        this.lease = lease;
-        this.blackboard = blackboard;
+        this.leaderElector = leaderElector;
+        this.processState = processState;
         this.follower = follower;
         this.appender = appender;
         this.platform = platform;
@@ -125,48 +100,43 @@
     }
 
     /**
-     * Orders what is due, while the lease is held.
+     * Closes orders of former lease holders and appends the intents of orders that are due, while the lease is held.
      *
-     * @param state The state machines.
-     * @param demand The demand, by model.
-     * @param reserve The number of backend servers that are needed beyond the demand, by model.
+     * @param demand The demand by model.
+     * @param reserve The number of backend servers needed on top of the demand, by model.
      */
     public void tick(LogState state, Map<String, ModelDemand> demand, Map<String, Integer> reserve) {
         long nowMillis = time.monotonicMillis();
         Configuration configuration = state.configuration().current().configuration();
-        if (waitedFencing != lease.fencingNumber()) {
-            waitedFencing = lease.fencingNumber();
+        if (waitFencingNumber != leaderElector.fencingNumber()) {
+            waitFencingNumber = leaderElector.fencingNumber();
             waitUntilMillis = nowMillis + configuration.times().orderTimeoutMillis();
-            busyPools.clear();
+            poolsInFlight.clear();
         }
         if (nowMillis < waitUntilMillis) {
             return;
         }
-        closeOldOrders(state);
+        closeOrdersOfFormerHolders(state);
         platform.backendServers().thenAccept(listed -> {
-            blackboard.publish(listed);
-            follower.onContext(later -> plan(configuration, demand, reserve));
+            processState.publish(listed);
+            follower.onContext(later -> appendDueIntents(configuration, demand, reserve));
         });
     }
 
-    /**
-     * Sends an order whose intent was read back.
-     *
-     * @param effect The effect.
-     */
-    public void accept(ApplyResult effect) {
-        if (!(effect instanceof ApplyResult.IntentResult judged)
-                || !judged.intent().holder().equals(incarnation)) {
+    /** Sends the order of an intent that this controller wrote, once it has been read back. */
+    public void accept(ApplyResult result) {
+        if (!(result instanceof ApplyResult.IntentResult intentResult)
+                || !intentResult.intent().holder().equals(incarnation)) {
             return;
         }
-        OrderIntent intent = judged.intent();
-        long timeoutMillis = blackboard.configuration().times().orderTimeoutMillis();
-        boolean lasts = lease.remainingMillis(time.monotonicMillis()) > timeoutMillis;
-        if (!judged.valid() || !lasts) {
-            busyPools.remove(intent.pool());
+        OrderIntent intent = intentResult.intent();
+        long timeoutMillis = processState.configuration().times().orderTimeoutMillis();
+        boolean leaseLasts = leaderElector.remainingMillis(time.monotonicMillis()) > timeoutMillis;
+        if (!intentResult.valid() || !leaseLasts) {
+            poolsInFlight.remove(intent.pool());
             events.emit(new ControllerEvents.OrderDropped(intent.orderId(), "lease_over"));
-            if (judged.valid()) {
-                close(intent.orderId(), intent.fencingNumber(), "dropped");
+            if (intentResult.valid()) {
+                appendOutcome(intent.orderId(), intent.fencingNumber(), "dropped");
             }
             return;
         }
@@ -179,40 +149,32 @@
         events.emit(new ControllerEvents.OrderSent(
                 intent.orderId(), intent.pool(), intent.desiredCount(), intent.fencingNumber(), intent.reason()));
         platform.order(order).whenComplete((answer, failure) -> {
-            Platform.OrderAnswer stated = failure == null ? answer : new Platform.OrderAnswer(UNKNOWN, -1);
-            follower.onContext(later -> ended(intent, stated));
+            Platform.OrderAnswer received = failure == null ? answer : new Platform.OrderAnswer(UNKNOWN, -1);
+            follower.onContext(later -> recordOutcome(intent, received));
         });
     }
 
-    /**
-     * Writes the intents of the orders that are due.
-     *
-     * @param configuration The configuration.
-     * @param demand The demand, by model.
-     * @param reserve The number of backend servers that are needed beyond the demand, by model.
-     */
-    private void plan(Configuration configuration, Map<String, ModelDemand> demand, Map<String, Integer> reserve) {
+    private void appendDueIntents(
+            Configuration configuration, Map<String, ModelDemand> demand, Map<String, Integer> reserve) {
         long nowMillis = time.monotonicMillis();
-        if (!lease.holds(nowMillis)) {
+        if (!leaderElector.holds(nowMillis)) {
             return;
         }
-        FleetView view = new FleetView(configuration, pools(nowMillis), demand, pacing.unavailable(nowMillis), reserve);
+        FleetView view = new FleetView(
+                configuration, poolStates(nowMillis), demand, rateLimiter.unavailable(nowMillis), reserve);
         for (FleetOrder order : planner.decide(nowMillis, view)) {
-            if (!busyPools.contains(order.pool()) && pacing.mayOrder(nowMillis, order.pool())) {
-                writeIntent(nowMillis, order);
+            if (!poolsInFlight.contains(order.pool()) && rateLimiter.mayOrder(nowMillis, order.pool())) {
+                appendIntent(nowMillis, order);
             }
         }
     }
 
     /**
-     * Counts the backend servers of each pool.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The states by pool.
+     * Counts the live and starting backend servers of each pool; a recent answer of the platform overrides its list.
      */
-    private Map<String, PoolState> pools(long nowMillis) {
+    private Map<String, PoolState> poolStates(long nowMillis) {
         Map<String, PoolState> pools = new HashMap<>();
-        for (ListedBackendServer listed : blackboard.listed()) {
+        for (ListedBackendServer listed : processState.listed()) {
             if (listed.state() == HostState.LEAVING) {
                 continue;
             }
@@ -220,8 +182,8 @@
             boolean live = listed.state() == HostState.LIVE;
             pools.put(listed.pool(), new PoolState(before.live() + (live ? 1 : 0), before.starting() + (live ? 0 : 1)));
         }
-        answered.values().removeIf(answer -> answer.untilMillis() <= nowMillis);
-        answered.forEach((pool, answer) -> {
+        reportedSizes.values().removeIf(size -> size.untilMillis() <= nowMillis);
+        reportedSizes.forEach((pool, answer) -> {
             int live = Math.min(
                     answer.count(), pools.getOrDefault(pool, PoolState.NONE).live());
             pools.put(pool, new PoolState(live, answer.count() - live));
@@ -229,74 +191,51 @@
         return pools;
     }
 
-    /**
-     * Writes the intent of an order.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param order The order.
-     */
-    private void writeIntent(long nowMillis, FleetOrder order) {
+    private void appendIntent(long nowMillis, FleetOrder order) {
         OrderIntent intent = new OrderIntent(
-                incarnation + "." + (orders + 1),
+                incarnation + "." + (orderCount + 1),
                 incarnation,
-                lease.fencingNumber(),
+                leaderElector.fencingNumber(),
                 order.pool(),
                 order.desiredCount(),
                 order.reason());
         appender.append("intent:" + order.pool(), intent).ifPresent(appended -> {
-            orders++;
-            pacing.ordered(nowMillis, order.pool());
-            busyPools.add(order.pool());
-            appended.onFailure(failure -> follower.onContext(later -> busyPools.remove(order.pool())));
+            orderCount++;
+            rateLimiter.ordered(nowMillis, order.pool());
+            poolsInFlight.add(order.pool());
+            appended.onFailure(failure -> follower.onContext(later -> poolsInFlight.remove(order.pool())));
         });
     }
 
-    /**
-     * Records what became of an order.
-     *
-     * @param intent The intent.
-     * @param answer What the platform stated.
-     */
-    private void ended(OrderIntent intent, Platform.OrderAnswer answer) {
+    private void recordOutcome(OrderIntent intent, Platform.OrderAnswer answer) {
         long nowMillis = time.monotonicMillis();
-        busyPools.remove(intent.pool());
+        poolsInFlight.remove(intent.pool());
         if (!answer.result().equals(UNKNOWN)) {
-            pacing.ended(nowMillis, intent.pool(), answer.result());
-            answered.put(intent.pool(), new Answered(answer.presentCount(), nowMillis + LIST_LAG_MILLIS));
+            rateLimiter.ended(nowMillis, intent.pool(), answer.result());
+            reportedSizes.put(intent.pool(), new ReportedSize(answer.presentCount(), nowMillis + MAX_LIST_LAG_MILLIS));
         }
-        close(intent.orderId(), intent.fencingNumber(), answer.result());
+        appendOutcome(intent.orderId(), intent.fencingNumber(), answer.result());
         events.emit(new ControllerEvents.OrderEnded(intent.orderId(), answer.result()));
     }
 
-    /**
-     * Closes the orders of earlier holders, whose deadline is over; the plan goes by what the platform lists.
-     *
-     * @param state The state machines.
-     */
-    private void closeOldOrders(LogState state) {
+    /** Closes the orders of former lease holders. Their deadline has passed, so the list shows their effect. */
+    private void closeOrdersOfFormerHolders(LogState state) {
         for (OrderIntent intent : state.openOrders().values()) {
             if (!intent.holder().equals(incarnation)) {
-                close(intent.orderId(), lease.fencingNumber(), "superseded");
+                appendOutcome(intent.orderId(), leaderElector.fencingNumber(), "superseded");
             }
         }
     }
 
-    /**
-     * Writes the outcome of an order.
-     *
-     * @param orderId The identifier of the order.
-     * @param fencingNumber The fencing number.
-     * @param result The result.
-     */
-    private void close(String orderId, long fencingNumber, String result) {
+    private void appendOutcome(String orderId, long fencingNumber, String result) {
         appender.append("outcome:" + orderId, new OrderOutcome(orderId, fencingNumber, result));
     }
 
     /**
-     * The size of a pool that the platform stated.
+     * The pool size that the platform reported in its answer to an order.
      *
      * @param count The number of backend servers.
-     * @param untilMillis The monotonic time until which it goes before the list.
+     * @param untilMillis The monotonic time until which the count overrides the platform's list.
      */
-    private record Answered(int count, long untilMillis) {}
+    private record ReportedSize(int count, long untilMillis) {}
 }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/package-info.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to the platform, each with its intent in the log. */
+/** Orders to the platform, each preceded by its intent in the log. */
 package org.cranberrygauge.controller.order;
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/package-info.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/package-info.java
@@ -1,2 +1,2 @@
-/** The program that, while it holds the lease, sends orders and usage reports to the platform. */
+/** The controller process, which holds a lease while it orders backend servers and reports usage to the platform. */
 package org.cranberrygauge.controller;
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/usage/package-info.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/usage/package-info.java
@@ -1,2 +1,2 @@
-/** Closing and reporting usage windows. */
+/** Closing and reporting of usage windows. */
 package org.cranberrygauge.controller.usage;
--- a/cranberrygauge-controller/src/test/java/org/cranberrygauge/controller/ControlAppenderTest.java
+++ b/cranberrygauge-controller/src/test/java/org/cranberrygauge/controller/ControlAppenderTest.java
@@ -25,13 +25,13 @@
 
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long LEASE_MILLIS = 6_000;
-    private static final String CLAIM = "lease-claim";
+    private static final String LEASE_CLAIM_KEY = "lease-claim";
 
     private final Vertx vertx = Vertx.vertx();
-    private final HeldLog log = new HeldLog();
-    private final ProcessState blackboard = new ProcessState(0);
+    private final PendingLog log = new PendingLog();
+    private final ProcessState processState = new ProcessState(0);
     private final LogAppender appender = new LogAppender(vertx, log, "host-1/1");
-    private final ControlAppender controlAppender = new ControlAppender(appender, blackboard);
+    private final ControlAppender controlAppender = new ControlAppender(appender, processState);
 
     @AfterEach
     void close() {
@@ -39,43 +39,45 @@
     }
 
     @Test
-    void an_hour_without_the_log_queues_one_claim() {
-        LeaderElector lease = new LeaderElector("host-1/1", "host-1", 0);
+    void an_hour_long_log_outage_queues_one_claim() {
+        LeaderElector leaderElector = new LeaderElector("host-1/1", "host-1", 0);
         for (long nowMillis = 0; nowMillis < HOUR_MILLIS; nowMillis += 100) {
-            if (controlAppender.isFree(CLAIM)) {
-                lease.decide(nowMillis, LEASE_MILLIS).ifPresent(claim -> controlAppender.append(CLAIM, claim));
+            if (controlAppender.isFree(LEASE_CLAIM_KEY)) {
+                leaderElector
+                        .decide(nowMillis, LEASE_MILLIS)
+                        .ifPresent(claim -> controlAppender.append(LEASE_CLAIM_KEY, claim));
             }
         }
         assertThat(appender.backlog()).isEqualTo(1);
     }
 
     @Test
-    void without_the_bound_an_hour_without_the_log_queues_a_claim_for_each_renewal() {
-        LeaderElector lease = new LeaderElector("host-1/1", "host-1", 0);
+    void without_a_key_an_hour_long_log_outage_queues_one_claim_per_renewal() {
+        LeaderElector leaderElector = new LeaderElector("host-1/1", "host-1", 0);
         for (long nowMillis = 0; nowMillis < HOUR_MILLIS; nowMillis += 100) {
-            lease.decide(nowMillis, LEASE_MILLIS).ifPresent(appender::append);
+            leaderElector.decide(nowMillis, LEASE_MILLIS).ifPresent(appender::append);
         }
         assertThat(appender.backlog()).isEqualTo(600);
     }
 
     @Test
-    void a_claim_that_the_log_takes_an_hour_late_gives_its_writer_no_lease() {
-        LeaderElector lease = new LeaderElector("host-1/1", "host-1", 0);
+    void a_claim_appended_an_hour_late_does_not_grant_the_lease() {
+        LeaderElector leaderElector = new LeaderElector("host-1/1", "host-1", 0);
         List<LeaseClaim> claims = new ArrayList<>();
         for (long nowMillis = 0; nowMillis < HOUR_MILLIS; nowMillis += 100) {
-            if (controlAppender.isFree(CLAIM)) {
-                lease.decide(nowMillis, LEASE_MILLIS).ifPresent(claim -> {
+            if (controlAppender.isFree(LEASE_CLAIM_KEY)) {
+                leaderElector.decide(nowMillis, LEASE_MILLIS).ifPresent(claim -> {
                     claims.add(claim);
-                    controlAppender.append(CLAIM, claim);
+                    controlAppender.append(LEASE_CLAIM_KEY, claim);
                 });
             }
         }
-        lease.observe(HOUR_MILLIS, LeaseState.initial().apply(1, claims.get(0)));
-        assertThat(lease.holds(HOUR_MILLIS)).isFalse();
+        leaderElector.observe(HOUR_MILLIS, LeaseState.initial().apply(1, claims.get(0)));
+        assertThat(leaderElector.holds(HOUR_MILLIS)).isFalse();
     }
 
     @Test
-    void a_purpose_is_free_only_once_its_record_was_read_back() throws Exception {
+    void a_key_is_free_only_after_its_record_has_been_read_back() throws Exception {
         WindowClose close = new WindowClose(1, "host-1/1", 7);
         assertThat(controlAppender.append("window-close", close)).isPresent();
         assertThat(controlAppender.append("window-close", close)).isEmpty();
@@ -87,11 +89,11 @@
         log.answers.poll(10, TimeUnit.SECONDS).complete(5L);
         assertThat(appended.get(10, TimeUnit.SECONDS)).isEqualTo(5);
         assertThat(controlAppender.isFree("window-close")).isFalse();
-        blackboard.publish(new LogPosition(5, 0));
+        processState.publish(new LogPosition(5, 0));
         assertThat(controlAppender.isFree("window-close")).isTrue();
     }
 
-    private static final class HeldLog implements PlatformLog {
+    private static final class PendingLog implements PlatformLog {
 
         private final BlockingQueue<CompletableFuture<Long>> answers = new LinkedBlockingQueue<>();
 
