--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/ChangeApplier.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/ChangeApplier.java
@@ -20,34 +20,25 @@
 /**
  * Brings a change of the configuration into force.
  *
- * <p>Invariants: "accepted" is told only once every gateway that is a member has confirmed the version. Used by one thread.
+ * <p>Invariants: a change is reported as accepted only after every member gateway has confirmed its version. Used by
+ * one thread.
  */
 public final class ChangeApplier {
 
-    /** The time between two rounds of asking gateways in milliseconds. */
-    private static final long POLL_MILLIS = 50;
+    private static final long POLL_INTERVAL_MILLIS = 50;
 
-    /** The session with the log. */
     private final LogSession session;
 
-    /** The time after which confirmation is given up in milliseconds. */
     private final long timeoutMillis;
 
-    /**
-     * Creates an applier.
-     *
-     * @param session The session with the log.
-     * @param timeoutMillis The time after which confirmation is given up in milliseconds.
-     */
     public ChangeApplier(LogSession session, long timeoutMillis) {
         this.session = session;
         this.timeoutMillis = timeoutMillis;
     }
 
     /**
-     * Returns the version in force.
+     * Reads the log and returns the version of the configuration in force.
      *
-     * @return The version.
      * @throws CranberrygaugeException If the log does not answer.
      */
     public long currentVersion() throws CranberrygaugeException {
@@ -55,14 +46,12 @@
     }
 
     /**
-     * Applies a change.
+     * Appends a change to the log and waits until every member gateway has confirmed it.
      *
-     * @param changeId The identifier of the change.
-     * @param operator The name of the operator.
-     * @param baseVersion The version that the change is based on.
-     * @param configuration The configuration.
-     * @param output Takes what is told.
-     * @return How it ended.
+     * @param changeId The identifier of the change, by which a repeated append is recognised.
+     * @param baseVersion The version that the change is based on; the change is a conflict if another one is in force.
+     * @param output Receives messages for the operator.
+     * @return How the change ended.
      * @throws CranberrygaugeException If the configuration is invalid or the log does not answer.
      */
     public ExitStatus apply(
@@ -75,68 +64,62 @@
         }
         session.append(new LogRecord.ConfigurationChange(changeId, operator, baseVersion, configuration));
         session.readToEnd();
-        ApplyResult.ChangeResult judged = session.judgementOf(changeId)
+        ApplyResult.ChangeResult result = session.resultOf(changeId)
                 .orElseThrow(() -> new CranberrygaugeException(
-                        ErrorCode.LOG_UNAVAILABLE, "the change was appended and can't be read back"));
-        if (judged.verdict() != Verdict.ACCEPTED) {
-            output.println("conflict: the change was based on version " + baseVersion + ", in force is version "
+                        ErrorCode.LOG_UNAVAILABLE, "the change was appended but could not be read back"));
+        if (result.verdict() != Verdict.ACCEPTED) {
+            output.println("conflict: the change is based on version " + baseVersion + ", but the version in force is "
                     + session.readToEnd().configuration().current().version() + "; nothing was changed");
             return ExitStatus.CONFLICT;
         }
-        return confirm(judged.offset(), output);
+        return confirm(result.offset(), output);
     }
 
     /**
-     * Waits until every gateway that is a member has a version.
-     *
-     * @param version The version.
-     * @param output Takes what is told.
-     * @return How it ended; the change stands in the log, so that an outage of the log now is no doubt about it.
+     * Waits until every member gateway has a version. The change is already in the log, so a log outage from here on
+     * leaves it unconfirmed rather than in doubt.
      */
     private ExitStatus confirm(long version, PrintStream output) {
         long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-        List<String> missing = missing(version);
-        while (!missing.isEmpty() && System.nanoTime() < untilNanos) {
+        List<String> unconfirmed = unconfirmed(version);
+        while (!unconfirmed.isEmpty() && System.nanoTime() < untilNanos) {
             pause();
-            missing = missing(version);
+            unconfirmed = unconfirmed(version);
         }
-        if (missing.isEmpty()) {
+        if (unconfirmed.isEmpty()) {
             output.println("accepted: version " + version + " is in force on every gateway");
             return ExitStatus.DONE;
         }
-        output.println("appended as version " + version + ", not yet confirmed by " + String.join(", ", missing));
+        output.println("appended as version " + version + ", not yet confirmed by " + String.join(", ", unconfirmed));
         return ExitStatus.UNCONFIRMED;
     }
 
     /**
-     * Lists the gateways that do not have a version.
-     *
-     * @param version The version.
-     * @return The hosts, or the log itself if it does not tell which gateways there are.
+     * Lists the hosts of member gateways that have not confirmed a version, or the log outage that prevents knowing
+     * them.
      */
-    private List<String> missing(long version) {
-        List<String> missing = new ArrayList<>();
+    private List<String> unconfirmed(long version) {
+        List<String> unconfirmed = new ArrayList<>();
         LogState state;
         try {
             state = session.readToEnd();
         } catch (CranberrygaugeException exception) {
-            return List.of("gateways not known, since " + exception.getMessage());
+            return List.of("unknown gateways, because " + exception.getMessage());
         }
         for (GatewayMember member : state.members().all()) {
             boolean confirmed = GatewayStatusClient.ask(member)
                     .filter(report -> report.getConfigurationVersion() >= version)
                     .isPresent();
             if (!confirmed) {
-                missing.add(member.host());
+                unconfirmed.add(member.host());
             }
         }
-        return missing;
+        return unconfirmed;
     }
 
-    /** Pauses this thread. */
     private static void pause() {
         try {
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/LogSession.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/LogSession.java
@@ -22,68 +22,55 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * One operator's view of the log, read on demand.
+ * A command's session with the log: reads it on demand and appends records to it.
  *
  * <p>Used by one thread.
  */
 public final class LogSession {
 
-    /** The highest number of entries in one read. */
     private static final int READ_LIMIT = 1_000;
 
-    /** The time between two tries in nanoseconds. */
-    private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** The number of tries that fit into the time of an append. */
-    private static final long TRIES = 4;
+    /** The timeout of an append covers this many calls, so that a call whose answer is lost can be repeated. */
+    private static final long CALLS_PER_TIMEOUT = 4;
 
-    /** The log. */
     private final PlatformLog log;
 
-    /** The sources of time. */
     private final TimeSource time;
 
-    /** The incarnation that writes. */
     private final String writer;
 
-    /** The time after which an append is given up in milliseconds. */
     private final long timeoutMillis;
 
-    /** The time after which one call is given up in milliseconds. */
     private final long callTimeoutMillis;
 
-    /** The state machines. */
     private final LogState state = new LogState();
 
-    /** What the log tells of the past. */
     private final LogHistory history = new LogHistory();
 
-    /** What became of changes that were read. */
     private final List<ApplyResult.ChangeResult> changes = new ArrayList<>();
 
-    /** The sequence number of the last entry written. */
     private long sequence;
 
     /**
-     * Creates a session.
+     * Creates a session that has read nothing yet.
      *
-     * @param log The log.
-     * @param time The sources of time.
-     * @param writer The incarnation that writes.
-     * @param timeoutMillis The time after which an append is given up in milliseconds; a quarter of it for one call.
+     * @param writer The incarnation that appends records.
+     * @param timeoutMillis The timeout of an append in milliseconds; a single call times out after a quarter of it.
      */
     public LogSession(PlatformLog log, TimeSource time, String writer, long timeoutMillis) {
         this.log = log;
         this.time = time;
         this.writer = writer;
         this.timeoutMillis = timeoutMillis;
-        this.callTimeoutMillis = Math.max(1, timeoutMillis / TRIES);
+        this.callTimeoutMillis = Math.max(1, timeoutMillis / CALLS_PER_TIMEOUT);
     }
 
     /**
-     * Reads up to the log's end.
+     * Reads up to the end of the log.
      *
-     * @return The state machines.
+     * @return The state machines after the last entry.
      * @throws CranberrygaugeException If the log does not answer.
      */
     public LogState readToEnd() throws CranberrygaugeException {
@@ -101,11 +88,7 @@
         return state;
     }
 
-    /**
-     * Goes on from the newest snapshot, since the log no longer keeps the entries that are needed.
-     *
-     * @throws CranberrygaugeException If the log does not answer or holds no snapshot.
-     */
+    /** Continues from the newest snapshot, because the log no longer keeps the entries after the current offset. */
     private void restore() throws CranberrygaugeException {
         SnapshotReader reader = new SnapshotReader();
         PlatformLog.Page page;
@@ -115,15 +98,14 @@
         } while (reader.searched() < page.endOffset() && !page.entries().isEmpty());
         Snapshot newest = reader.newest()
                 .orElseThrow(() -> new CranberrygaugeException(
-                        ErrorCode.LOG_UNAVAILABLE, "the log holds neither its beginning nor a whole snapshot"));
+                        ErrorCode.LOG_UNAVAILABLE, "the log holds neither its first entry nor a complete snapshot"));
         state.restore(newest);
     }
 
     /**
-     * Appends a record, again with the same sequence number while its answer is lost.
+     * Appends a record, and repeats the append with the same sequence number until it is answered or times out.
      *
-     * @param record The record.
-     * @throws CranberrygaugeException If the log did not take it in time; it may still stand in the log.
+     * @throws CranberrygaugeException If the append timed out; the record may nevertheless be in the log.
      */
     public void append(LogRecord record) throws CranberrygaugeException {
         sequence++;
@@ -137,54 +119,40 @@
                 if (time.monotonicMillis() >= untilMillis) {
                     throw exception;
                 }
-                LockSupport.parkNanos(RETRY_NANOS);
+                LockSupport.parkNanos(RETRY_DELAY_NANOS);
             }
         }
     }
 
     /**
-     * Finds what became of a change that was read.
+     * Finds the result of a change that has been read.
      *
-     * @param changeId The identifier of the change.
-     * @return The verdict with its offset, or nothing if the change was not read.
+     * @return The verdict and offset, or empty if the change has not been read.
      */
-    public Optional<ApplyResult.ChangeResult> judgementOf(String changeId) {
+    public Optional<ApplyResult.ChangeResult> resultOf(String changeId) {
         return changes.stream()
                 .filter(change -> change.changeId().equals(changeId) && change.verdict() != Verdict.COPY)
                 .findFirst();
     }
 
-    /**
-     * Returns what became of all changes that were read.
-     *
-     * @return The changes in the order of the log.
-     */
+    /** Returns the verdicts on all changes that have been read, in the order of the log. */
     public List<ApplyResult.ChangeResult> changes() {
         return List.copyOf(changes);
     }
 
-    /**
-     * Returns what the log tells of the past.
-     *
-     * @return The history up to what was read.
-     */
+    /** Returns the history up to the last entry that has been read. */
     public LogHistory history() {
         return history;
     }
 
-    /**
-     * Applies an entry.
-     *
-     * @param entry The entry.
-     */
     private void apply(PlatformLog.StoredEntry entry) {
         try {
             LogEntry read = LogCodec.read(entry.payload());
-            List<ApplyResult> effects = state.apply(entry.offset(), entry.appendedAtMillis(), read);
-            history.take(entry.offset(), entry.appendedAtMillis(), read, effects, state.usage());
-            for (ApplyResult effect : effects) {
-                if (effect instanceof ApplyResult.ChangeResult judged) {
-                    changes.add(judged);
+            List<ApplyResult> results = state.apply(entry.offset(), entry.appendedAtMillis(), read);
+            history.add(entry.offset(), entry.appendedAtMillis(), read, results, state.usage());
+            for (ApplyResult result : results) {
+                if (result instanceof ApplyResult.ChangeResult change) {
+                    changes.add(change);
                 }
             }
         } catch (CranberrygaugeException exception) {
@@ -192,14 +160,7 @@
         }
     }
 
-    /**
-     * Waits for a call.
-     *
-     * @param stage The call.
-     * @param <T> The type.
-     * @return The result.
-     * @throws CranberrygaugeException If it failed or took too long.
-     */
+    /** Waits for the answer to a call, at most until it times out. */
     private <T> T await(CompletionStage<T> stage) throws CranberrygaugeException {
         try {
             return stage.toCompletableFuture().get(callTimeoutMillis, TimeUnit.MILLISECONDS);
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/package-info.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/package-info.java
@@ -1,2 +1,2 @@
-/** What commands read from the log and write to it. */
+/** Reading and appending to the log by commands. */
 package org.cranberrygauge.operator.log;
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/plan/package-info.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/plan/package-info.java
@@ -1,2 +1,2 @@
-/** What a change would do to the configuration in force. */
+/** The effect that a change would have on the configuration in force. */
 package org.cranberrygauge.operator.plan;
--- a/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/log/ChangeApplierTest.java
+++ b/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/log/ChangeApplierTest.java
@@ -26,12 +26,12 @@
 
     private final FakeLog log = new FakeLog();
 
-    private final ByteArrayOutputStream told = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
 
     private final LogSession session = session("ana");
 
     @Test
-    void a_change_whose_answer_is_lost_takes_effect_once() throws CranberrygaugeException {
+    void a_change_takes_effect_once_if_the_answer_to_its_append_is_lost() throws CranberrygaugeException {
         log.lostAnswers = 1;
         assertThat(apply("one", 0)).isEqualTo(ExitStatus.DONE);
         assertThat(log.entries).hasSize(2);
@@ -39,15 +39,17 @@
     }
 
     @Test
-    void a_change_on_an_old_base_is_a_conflict_and_changes_nothing() throws CranberrygaugeException {
+    void a_change_based_on_an_old_version_is_a_conflict_and_changes_nothing() throws CranberrygaugeException {
         assertThat(apply("one", 0)).isEqualTo(ExitStatus.DONE);
         assertThat(apply("two", 0)).isEqualTo(ExitStatus.CONFLICT);
         assertThat(session.readToEnd().configuration().current().version()).isEqualTo(1);
-        assertThat(told.toString(StandardCharsets.UTF_8)).contains("conflict").contains("nothing was changed");
+        assertThat(printed.toString(StandardCharsets.UTF_8))
+                .contains("conflict")
+                .contains("nothing was changed");
     }
 
     @Test
-    void a_log_that_does_not_answer_is_an_outage() {
+    void an_append_fails_if_the_log_does_not_answer() {
         log.down = true;
         assertThatThrownBy(() -> apply("one", 0))
                 .isInstanceOfSatisfying(
@@ -56,17 +58,17 @@
     }
 
     @Test
-    void a_log_that_fails_after_the_change_was_read_back_leaves_it_unconfirmed() throws CranberrygaugeException {
+    void a_change_stays_unconfirmed_if_the_log_fails_after_it_was_read_back() throws CranberrygaugeException {
         log.readsUntilDown = 1;
         assertThat(apply("one", 0)).isEqualTo(ExitStatus.UNCONFIRMED);
-        assertThat(told.toString(StandardCharsets.UTF_8)).contains("appended as version 1, not yet confirmed by");
+        assertThat(printed.toString(StandardCharsets.UTF_8)).contains("appended as version 1, not yet confirmed by");
     }
 
     @Test
-    void a_gateway_that_does_not_answer_is_named() throws CranberrygaugeException {
+    void gateways_that_do_not_confirm_are_named() throws CranberrygaugeException {
         session("gateway").append(new LogRecord.GatewayJoined("host-1/1", "host-1", "a", "127.0.0.1:1"));
         assertThat(apply("one", 0)).isEqualTo(ExitStatus.UNCONFIRMED);
-        assertThat(told.toString(StandardCharsets.UTF_8)).contains("not yet confirmed by host-1");
+        assertThat(printed.toString(StandardCharsets.UTF_8)).contains("not yet confirmed by host-1");
     }
 
     private ExitStatus apply(String changeId, long base) throws CranberrygaugeException {
@@ -81,7 +83,7 @@
                 List.of(),
                 List.of(),
                 ControlTimes.standard());
-        PrintStream output = new PrintStream(told, true, StandardCharsets.UTF_8);
+        PrintStream output = new PrintStream(printed, true, StandardCharsets.UTF_8);
         return new ChangeApplier(session, TIMEOUT_MILLIS).apply(changeId, "ana", base, configuration, output);
     }
 
--- a/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/plan/ConfigurationDifferencesTest.java
+++ b/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/plan/ConfigurationDifferencesTest.java
@@ -19,12 +19,12 @@
             Configuration.empty().withClasses(List.of(CHAT)).withCustomers(List.of(customer("cg-old")));
 
     @Test
-    void equal_configurations_have_no_difference() {
+    void equal_configurations_have_no_differences() {
         assertThat(ConfigurationDifferences.between(before, before)).isEmpty();
     }
 
     @Test
-    void added_changed_and_removed_parts_are_told_by_name() {
+    void added_changed_and_removed_items_are_listed_by_name() {
         Configuration after = before.withClasses(List.of(
                         new ServiceClass("chat", 2, 0.5, 900, 31, 5_000, 100),
                         new ServiceClass("study", 3, 0.1, 1, 1, 1, 1)))
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void a_replaced_key_shows_by_name_and_never_by_digest() {
+    void a_replaced_key_is_shown_by_name_and_never_by_digest() {
         Configuration after = before.withCustomers(List.of(customer("cg-new")));
         assertThat(ConfigurationDifferences.between(before, after))
                 .extracting(Difference::line)
