--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/AnswerLineIndex.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/AnswerLineIndex.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /**
- * The lines on which the fields of a questionnaire stand.
+ * Index of the lines on which the fields of a questionnaire stand.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public final class AnswerLineIndex {
 
-    /** The names of answers by the names that the configuration gives to them. */
+    /** The names that the questionnaire gives to fields, by their names in the configuration. */
     private static final Map<String, String> ANSWER_NAMES = Map.of(
             "cleaningWindows", "cleaning",
             "backendServers", "engines",
@@ -24,24 +24,17 @@
             "startMinute", "start",
             "routes", "services");
 
-    /** The lines by the path of the field. */
+    /** Line numbers by the path of the field. */
     private final Map<String, Integer> lines;
 
-    /**
-     * Creates an index.
-     *
-     * @param lines The lines by the path of the field.
-     */
     private AnswerLineIndex(Map<String, Integer> lines) {
         this.lines = Map.copyOf(lines);
     }
 
     /**
-     * Reads where the fields of a text stand.
+     * Indexes the fields of a YAML text.
      *
-     * @param text The text, which is valid YAML.
-     * @return The lines.
-     * @throws IOException If the text is no YAML.
+     * @throws IOException If the text is not valid YAML.
      */
     public static AnswerLineIndex of(String text) throws IOException {
         Map<String, Integer> lines = new HashMap<>();
@@ -57,10 +50,10 @@
     }
 
     /**
-     * Finds the line of a field, or of what it is a part of.
+     * Finds the line of a field, or else of the closest enclosing field that is present.
      *
      * @param configurationPath The path in the configuration, such as classes[0].tier.
-     * @return The line, or 1 if nothing of the path is known.
+     * @return The line from 1; 1 if no part of the path is present.
      */
     public int lineOf(String configurationPath) {
         String path = answerPath(configurationPath);
@@ -74,12 +67,6 @@
         return 1;
     }
 
-    /**
-     * Translates a path of the configuration.
-     *
-     * @param configurationPath The path.
-     * @return The path of the answer.
-     */
     private static String answerPath(String configurationPath) {
         StringBuilder path = new StringBuilder();
         for (String part : configurationPath.split("\\.", -1)) {
@@ -91,12 +78,6 @@
         return path.toString();
     }
 
-    /**
-     * Writes the path of the present token.
-     *
-     * @param context The context of the parser.
-     * @return The path.
-     */
     private static String path(JsonStreamContext context) {
         if (context == null || context.inRoot()) {
             return "";
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/ConfigurationGenerator.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/ConfigurationGenerator.java
@@ -25,38 +25,30 @@
 import org.cranberrygauge.model.service.ServiceRoute;
 
 /**
- * Generates a configuration from the answers of a team.
+ * Generates a configuration from the answers to a questionnaire.
  *
- * <p>Invariants: customers that were there keep their keys; each new customer gets one key, which is told once. Used by
- * one thread.
+ * <p>Invariants: customers that already exist keep their keys; each new customer gets one key, which is available in
+ * plain text only from this generator. Used by one thread.
  */
 public final class ConfigurationGenerator {
 
     /** The name of a customer's first key. */
     private static final String FIRST_KEY = "first";
 
-    /** The source of new keys. */
     private final KeySource keySource;
 
-    /** The new keys by customer. */
+    /** New keys in plain text, by customer. */
     private final Map<String, String> newKeys = new LinkedHashMap<>();
 
-    /**
-     * Creates a generator.
-     *
-     * @param keySource The source of new keys.
-     */
     public ConfigurationGenerator(KeySource keySource) {
         this.keySource = keySource;
     }
 
     /**
-     * Generates a configuration.
+     * Generates a configuration and checks it as a whole.
      *
-     * @param answers The answers.
      * @param before The configuration in force, whose keys are kept.
-     * @return The configuration.
-     * @throws CranberrygaugeException If the answers do not fit together.
+     * @throws CranberrygaugeException If the configuration would be invalid.
      */
     public Configuration generate(Questionnaire answers, Configuration before) throws CranberrygaugeException {
         Configuration configuration = build(answers, before);
@@ -76,10 +68,9 @@
     /**
      * Builds a configuration without checking it as a whole.
      *
-     * @param answers The answers.
      * @param before The configuration in force, whose keys are kept.
      * @return The configuration, which may have problems.
-     * @throws CranberrygaugeException If a time of day can't be read.
+     * @throws CranberrygaugeException If a time of day can't be parsed.
      */
     public Configuration build(Questionnaire answers, Configuration before) throws CranberrygaugeException {
         newKeys.clear();
@@ -98,25 +89,15 @@
                 routes(answers),
                 backendServers(answers),
                 answers.fleet().stream().map(ConfigurationGenerator::pool).toList(),
-                cleaning(answers),
+                cleaningWindows(answers),
                 answers.times());
     }
 
-    /**
-     * Returns the keys of the customers that are new.
-     *
-     * @return The keys by customer.
-     */
+    /** Returns the keys of the customers that the last build added, in plain text by customer. */
     public Map<String, String> newKeys() {
         return Map.copyOf(newKeys);
     }
 
-    /**
-     * Converts a class.
-     *
-     * @param answer The answer.
-     * @return The class.
-     */
     private static ServiceClass serviceClass(Questionnaire.ClassAnswer answer) {
         return new ServiceClass(
                 answer.name(),
@@ -128,39 +109,20 @@
                 answer.queueLimit());
     }
 
-    /**
-     * Converts a customer.
-     *
-     * @param answer The answer.
-     * @param before The configuration in force.
-     * @return The customer.
-     */
     private Customer customer(Questionnaire.CustomerAnswer answer, Configuration before) {
         Set<String> classes = answer.classes() == null ? Set.of() : answer.classes();
         List<CustomerKey> keys = before.customer(answer.name())
                 .map(Customer::keys)
-                .orElseGet(() -> List.of(new CustomerKey(FIRST_KEY, KeyDigest.of(newKey(answer.name())))));
+                .orElseGet(() -> List.of(new CustomerKey(FIRST_KEY, KeyDigest.of(generateKey(answer.name())))));
         return new Customer(answer.name(), answer.weight(), keys, classes);
     }
 
-    /**
-     * Makes a key for a new customer.
-     *
-     * @param customer The customer.
-     * @return The key.
-     */
-    private String newKey(String customer) {
+    private String generateKey(String customer) {
         String key = keySource.next();
         newKeys.put(customer, key);
         return key;
     }
 
-    /**
-     * Converts the routes.
-     *
-     * @param answers The answers.
-     * @return The routes.
-     */
     private static List<ServiceRoute> routes(Questionnaire answers) {
         List<ServiceRoute> routes = new ArrayList<>();
         for (Questionnaire.ServiceAnswer service : answers.services()) {
@@ -179,12 +141,6 @@
         return routes;
     }
 
-    /**
-     * Converts the engines and the workers of plain services.
-     *
-     * @param answers The answers.
-     * @return The backend servers.
-     */
     private static List<BackendServer> backendServers(Questionnaire answers) {
         List<BackendServer> servers = new ArrayList<>();
         for (Questionnaire.EngineAnswer group : answers.engines()) {
@@ -218,12 +174,6 @@
         return servers;
     }
 
-    /**
-     * Converts a pool.
-     *
-     * @param answer The answer.
-     * @return The pool.
-     */
     private static FleetPool pool(Questionnaire.PoolAnswer answer) {
         return new FleetPool(
                 answer.dataCentre(),
@@ -234,14 +184,7 @@
                 answer.costPerHour());
     }
 
-    /**
-     * Converts the cleaning windows.
-     *
-     * @param answers The answers.
-     * @return The windows.
-     * @throws CranberrygaugeException If a time of day can't be read.
-     */
-    private static List<CleaningWindow> cleaning(Questionnaire answers) throws CranberrygaugeException {
+    private static List<CleaningWindow> cleaningWindows(Questionnaire answers) throws CranberrygaugeException {
         List<CleaningWindow> windows = new ArrayList<>();
         for (Questionnaire.CleaningAnswer answer : answers.cleaning()) {
             windows.add(new CleaningWindow(
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/KeySource.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/KeySource.java
@@ -3,35 +3,28 @@
 import java.security.SecureRandom;
 import java.util.HexFormat;
 
-/** Makes new keys. */
+/** Source of new customer keys. */
 public interface KeySource {
 
-    /**
-     * Makes a key.
-     *
-     * @return The key.
-     */
     String next();
 
     /**
-     * Makes keys that nobody can guess.
+     * Generates random keys that can't be guessed.
      *
      * <p>Safe for use by several threads.
      */
     final class Secure implements KeySource {
 
-        /** The start of each key, by which it is recognised where it should not stand. */
+        /** Prefix of every key, so that a leaked key can be recognised. */
         private static final String PREFIX = "cg-";
 
-        /** The number of random bytes. */
-        private static final int BYTES = 24;
+        private static final int RANDOM_BYTES = 24;
 
-        /** The source of randomness. */
         private final SecureRandom random = new SecureRandom();
 
         @Override
         public String next() {
-            byte[] bytes = new byte[BYTES];
+            byte[] bytes = new byte[RANDOM_BYTES];
             random.nextBytes(bytes);
             return PREFIX + HexFormat.of().formatHex(bytes);
         }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/Questionnaire.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/Questionnaire.java
@@ -7,19 +7,13 @@
 import org.cranberrygauge.model.configuration.ControlTimes;
 
 /**
- * The answers of a team.
+ * The answers of a team, from which its configuration is generated.
  *
- * @param deployment The name of the deployment.
- * @param region The name of the region.
- * @param dataCentres The names of the data centres.
- * @param models The names of the models.
- * @param classes The service classes.
- * @param customers The customers.
- * @param engines The groups of engines.
- * @param services The plain services.
+ * @param engines Groups of engines.
+ * @param services Services other than model engines.
  * @param fleet The pools that may be ordered from the platform.
  * @param cleaning The weekly cleaning windows.
- * @param times The times of the control functions, or null for the standard ones.
+ * @param times The times of the control functions, or null for the defaults.
  */
 public record Questionnaire(
         String deployment,
@@ -34,7 +28,7 @@
         List<CleaningAnswer> cleaning,
         ControlTimes times) {
 
-    /** Replaces lists that were left out. */
+    /** Replaces omitted lists by empty ones, and omitted times by the defaults. */
     public Questionnaire {
         dataCentres = orEmpty(dataCentres);
         models = orEmpty(models);
@@ -47,13 +41,6 @@
         times = times == null ? ControlTimes.standard() : times;
     }
 
-    /**
-     * Replaces a list that was left out.
-     *
-     * @param list The list, or null.
-     * @param <T> The type of the items.
-     * @return The list.
-     */
     private static <T> List<T> orEmpty(List<T> list) {
         return list == null ? List.of() : List.copyOf(list);
     }
@@ -61,13 +48,12 @@
     /**
      * A service class.
      *
-     * @param name The name.
      * @param tier The tier; 0 is the highest.
-     * @param guaranteedShare The share of starts that the class always gets, from 0 to 1.
+     * @param guaranteedShare The share of request starts that is reserved for the class, from 0 to 1.
      * @param firstTokenMillis The target for the time to the first token in milliseconds.
      * @param betweenTokensMillis The target for the time between tokens in milliseconds.
-     * @param longestWaitMillis The longest time in the queue in milliseconds.
-     * @param queueLimit The number of requests that may wait on one gateway.
+     * @param longestWaitMillis The maximum time in the queue in milliseconds.
+     * @param queueLimit The number of requests that may be queued on one gateway.
      */
     public record ClassAnswer(
             String name,
@@ -79,24 +65,21 @@
             int queueLimit) {}
 
     /**
-     * A customer.
+     * A customer, whose keys are generated.
      *
-     * @param name The name.
-     * @param weight The weight of the fair share.
-     * @param classes The names of the classes it may use.
+     * @param weight The weight in weighted fair sharing within a class.
      */
     public record CustomerAnswer(String name, int weight, Set<String> classes) {}
 
     /**
-     * A group of engines at one address range.
+     * A group of engines at one IP address.
      *
-     * @param name The start of the names.
-     * @param dataCentre The data centre.
-     * @param host The IP number.
+     * @param name The prefix of the names of the engines.
+     * @param host The IP address.
      * @param ports The ports, one for each engine.
-     * @param models The models that they run.
-     * @param slots The number of requests that each runs at once.
-     * @param checksFencing Whether they refuse orders with an old fencing number.
+     * @param models The names of the models that the engines serve.
+     * @param slots The number of requests that each engine runs concurrently.
+     * @param checksFencing Whether the engines reject orders with an old fencing number.
      */
     public record EngineAnswer(
             String name,
@@ -107,36 +90,25 @@
             int slots,
             boolean checksFencing) {}
 
-    /**
-     * A plain service.
-     *
-     * @param name The name.
-     * @param workers The workers.
-     * @param routes The routes.
-     */
+    /** A service other than a model engine. */
     public record ServiceAnswer(String name, List<WorkerAnswer> workers, List<RouteAnswer> routes) {}
 
     /**
-     * A worker of a plain service.
+     * A backend server of a service.
      *
-     * @param name The name.
-     * @param dataCentre The data centre.
-     * @param host The IP number.
-     * @param port The port.
-     * @param slots The number of calls that it runs at once.
+     * @param host The IP address.
+     * @param slots The number of calls that it runs concurrently.
      */
     public record WorkerAnswer(String name, String dataCentre, String host, int port, int slots) {}
 
     /**
-     * A route to a plain service.
+     * A route to a service.
      *
      * @param path The path prefix below /services.
-     * @param method The HTTP method.
-     * @param className The name of the class.
-     * @param mayRepeat Whether a call may run more than once without harm.
+     * @param mayRepeat Whether calls are idempotent.
      * @param open Whether the route is open to callers without a key.
-     * @param keyRequired Whether an idempotency key is demanded.
-     * @param statusPath The path of the status lookup, or null.
+     * @param keyRequired Whether an idempotency key is required.
+     * @param statusPath The path at which the outcome of a call can be looked up, or null.
      */
     public record RouteAnswer(
             String path,
@@ -148,14 +120,11 @@
             String statusPath) {}
 
     /**
-     * A pool that may be ordered.
+     * A pool that may be ordered from the platform.
      *
-     * @param dataCentre The data centre.
-     * @param model The model.
-     * @param supply How the servers are supplied.
-     * @param minimum The number that is always kept.
-     * @param maximum The number that is never exceeded.
-     * @param costPerHour The cost of one server for an hour.
+     * @param minimum The number of backend servers that is always kept.
+     * @param maximum The number of backend servers that is never exceeded.
+     * @param costPerHour The cost of one backend server per hour.
      */
     public record PoolAnswer(
             String dataCentre, String model, Supply supply, int minimum, int maximum, double costPerHour) {}
@@ -163,7 +132,6 @@
     /**
      * A weekly cleaning window.
      *
-     * @param dataCentre The data centre.
      * @param day The day of the week in UTC.
      * @param start The time of day in UTC as HH:MM.
      * @param durationMinutes The length in minutes.
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/TimeOfDay.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/TimeOfDay.java
@@ -6,25 +6,22 @@
 import org.cranberrygauge.model.error.ErrorCode;
 
 /**
- * Reads times of day.
+ * Parses times of day.
  *
  * <p>Stateless and safe for use by several threads.
  */
 public final class TimeOfDay {
 
-    /** The number of minutes in an hour. */
     private static final int MINUTES_PER_HOUR = 60;
 
-    /** Prevents instances. */
     private TimeOfDay() {}
 
     /**
-     * Reads a time of day.
+     * Parses a time of day.
      *
-     * @param field The field or setting that states it.
-     * @param text The text.
-     * @return The minute of the day.
-     * @throws CranberrygaugeException If it can't be read.
+     * @param field The name of the field or setting, for errors.
+     * @return The minute of the day, from 0.
+     * @throws CranberrygaugeException If the text is not a time of day.
      */
     public static int minute(String field, String text) throws CranberrygaugeException {
         try {
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/YamlFileReader.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/YamlFileReader.java
@@ -25,22 +25,17 @@
  */
 public final class YamlFileReader {
 
-    /** The mapper, which is safe for use by several threads once built. */
+    /** Safe for use by several threads once built. */
     private static final ObjectMapper MAPPER = YAMLMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .build();
 
-    /** Prevents instances. */
     private YamlFileReader() {}
 
     /**
      * Reads a file.
      *
-     * @param file The file.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value.
-     * @throws CranberrygaugeException If the file can't be read.
+     * @throws CranberrygaugeException If the file can't be read or does not fit the type.
      */
     public static <T> T read(Path file, Class<T> type) throws CranberrygaugeException {
         try {
@@ -54,12 +49,8 @@
     /**
      * Reads a text.
      *
-     * @param name The name that errors give to the text.
-     * @param text The text.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value.
-     * @throws CranberrygaugeException If the text can't be read.
+     * @param name The name of the text in errors.
+     * @throws CranberrygaugeException If the text does not fit the type.
      */
     public static <T> T read(String name, String text, Class<T> type) throws CranberrygaugeException {
         try {
@@ -73,13 +64,6 @@
         }
     }
 
-    /**
-     * Describes an error.
-     *
-     * @param name The name of the text.
-     * @param exception The error.
-     * @return The description with line and field.
-     */
     private static String describe(String name, JsonProcessingException exception) {
         JsonLocation location = exception.getLocation();
         String line = location == null ? "" : ":" + location.getLineNr();
@@ -88,12 +72,6 @@
         return name + line + ": " + (field.isEmpty() ? "" : field + ": ") + message;
     }
 
-    /**
-     * Tells what is wrong and what is allowed.
-     *
-     * @param exception The error.
-     * @return The message.
-     */
     private static String message(JsonProcessingException exception) {
         if (exception instanceof UnrecognizedPropertyException unknown) {
             TreeSet<String> known = new TreeSet<>();
@@ -101,22 +79,17 @@
             return "unknown field; allowed are " + String.join(", ", known);
         }
         if (exception instanceof InvalidFormatException invalid) {
-            return "\"" + invalid.getValue() + "\" is not allowed; allowed is " + allowed(invalid.getTargetType());
+            return "\"" + invalid.getValue() + "\" is not allowed; allowed is "
+                    + allowedValues(invalid.getTargetType());
         }
         if (exception instanceof MismatchedInputException mismatched
                 && exception.getOriginalMessage().startsWith("Cannot map `null`")) {
-            return "is missing; allowed is " + allowed(mismatched.getTargetType());
+            return "is missing; allowed is " + allowedValues(mismatched.getTargetType());
         }
         return exception.getOriginalMessage().lines().findFirst().orElse("can't be read");
     }
 
-    /**
-     * Tells what a type allows.
-     *
-     * @param type The type.
-     * @return The text.
-     */
-    private static String allowed(Class<?> type) {
+    private static String allowedValues(Class<?> type) {
         if (type == null) {
             return "another value";
         }
@@ -129,12 +102,7 @@
         return type == double.class || type == Double.class ? "a number" : "a whole number";
     }
 
-    /**
-     * Writes the path of a field.
-     *
-     * @param exception The error.
-     * @return The path, such as classes[0].tier.
-     */
+    /** Formats the path of a field, such as classes[0].tier. */
     private static String path(JsonMappingException exception) {
         return exception.getPath().stream()
                 .map(part -> part.getFieldName() == null ? "[" + part.getIndex() + "]" : "." + part.getFieldName())
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/package-info.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/questionnaire/package-info.java
@@ -1,2 +1,2 @@
-/** The questionnaire and the configuration that is generated from it. */
+/** The questionnaire and the generation of a configuration from it. */
 package org.cranberrygauge.operator.questionnaire;
--- a/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/questionnaire/YamlFileReaderTest.java
+++ b/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/questionnaire/YamlFileReaderTest.java
@@ -15,13 +15,13 @@
                     deployment: a\\nfleet:\\n- {supply: FREE} | file:3: fleet[0].supply: "FREE" is not allowed; allowed is REGULAR, CHEAP
                     deployments: a | file:1: deployments: unknown field; allowed are classes, cleaning, customers
                     """)
-    void an_error_names_file_line_field_and_what_is_allowed(String text, String expected) {
+    void an_error_names_file_line_field_and_allowed_values(String text, String expected) {
         assertThatThrownBy(() -> YamlFileReader.read("file", text.replace("\\n", "\n"), Questionnaire.class))
                 .hasMessageContaining(expected);
     }
 
     @Test
-    void an_empty_file_is_an_error() {
+    void an_empty_file_is_rejected() {
         assertThatThrownBy(() -> YamlFileReader.read("file", "", Questionnaire.class))
                 .hasMessageContaining("file");
     }
