--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/CommandHelp.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/CommandHelp.java
@@ -11,18 +11,9 @@
  */
 final class CommandHelp {
 
-    /** Prevents instances. */
     private CommandHelp() {}
 
-    /**
-     * Writes the help of one command.
-     *
-     * @param program The name of the program.
-     * @param commander The parser.
-     * @param name The name of the command.
-     * @param command The command.
-     * @return The text with settings and examples.
-     */
+    /** Writes the help of one command, with its settings and examples. */
     static String of(String program, JCommander commander, String name, Command command) {
         StringBuilder text = new StringBuilder();
         commander.getUsageFormatter().usage(name, text);
@@ -36,13 +27,7 @@
         return text.toString();
     }
 
-    /**
-     * Lists the commands and the exit statuses.
-     *
-     * @param program The name of the program.
-     * @param commander The parser.
-     * @return The text.
-     */
+    /** Writes the list of commands and exit statuses. */
     static String overview(String program, JCommander commander) {
         StringBuilder text = new StringBuilder("Usage: " + program + " COMMAND [SETTINGS]\n\nCommands:\n");
         commander
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/OperatorMain.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/OperatorMain.java
@@ -27,24 +27,17 @@
 import org.cranberrygauge.runtime.setting.SettingException;
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
-/**
- * The entry point of the operators' command line.
- *
- * <p>Stateless.
- */
+/** Entry point of the operators' command line. */
 public final class OperatorMain {
 
-    /** The name of the program. */
     private static final String NAME = "cranberrygauge";
 
-    /** The flag that asks for help. */
     private static final String HELP = "--help";
 
-    /** Prevents instances. */
     private OperatorMain() {}
 
     /**
-     * Runs a command.
+     * Runs a command and exits with its status.
      *
      * @param arguments The command line.
      */
@@ -52,12 +45,6 @@
         System.exit(run(arguments).number());
     }
 
-    /**
-     * Runs a command.
-     *
-     * @param arguments The command line.
-     * @return The exit status.
-     */
     static ExitStatus run(String... arguments) {
         Map<String, Command> commands = new LinkedHashMap<>();
         commands.put("questionnaire", new QuestionnaireCommand());
@@ -103,12 +90,7 @@
         return run(commands.get(commander.getParsedCommand()));
     }
 
-    /**
-     * Runs a command and tells its errors.
-     *
-     * @param command The command.
-     * @return The exit status.
-     */
+    /** Runs a command and prints the message of its error, if any. */
     private static ExitStatus run(Command command) {
         try {
             return command.run(System.out);
@@ -118,12 +100,6 @@
         }
     }
 
-    /**
-     * Returns the exit status of an error.
-     *
-     * @param code The code of the error.
-     * @return The exit status.
-     */
     private static ExitStatus statusOf(ErrorCode code) {
         return switch (code) {
             case INVALID_CONFIGURATION, INVALID_REQUEST -> ExitStatus.INVALID;
@@ -136,11 +112,9 @@
     /** The settings that need no command. */
     private static final class GeneralSettings {
 
-        /** Whether to print the usage and exit. */
         @Parameter(names = "--help", help = true, description = "Prints this help and exits")
         private boolean help;
 
-        /** Whether to print the version and exit. */
         @Parameter(names = "--version", help = true, description = "Prints the version and exits")
         private boolean version;
     }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ApplyCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ApplyCommand.java
@@ -21,24 +21,20 @@
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
-@Parameters(commandDescription = "Puts a configuration into force; says accepted once every gateway has it")
+@Parameters(commandDescription = "Puts a configuration into force; prints accepted once every gateway has confirmed it")
 public final class ApplyCommand implements Command {
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** The configuration. */
     @Parameter(names = "--configuration", required = true, description = "File with the configuration, as JSON")
     private Path configurationFile;
 
-    /** The version that the change is based on. */
     @Parameter(
             names = "--base-version",
-            description = "Version that the change is based on; the one in force if left out")
+            description = "Version that the change is based on; defaults to the version in force")
     private long baseVersion = -1;
 
-    /** The name of the operator. */
     @Parameter(names = "--operator", description = "Name of the operator")
     private String operator = System.getProperty("user.name");
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/BackendCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/BackendCommand.java
@@ -24,58 +24,42 @@
 @Parameters(commandDescription = "Adds, changes or removes the backend server NAME")
 public final class BackendCommand implements Command {
 
-    /** The settings of the change. */
     @ParametersDelegate
     private final ChangeSettings change = new ChangeSettings();
 
-    /** The address. */
     @Parameter(names = "--address", converter = AddressConverter.class, description = "HOST:PORT of its HTTP interface")
     private NetworkAddress address;
 
-    /** The data centre. */
     @Parameter(names = "--backend-data-centre", description = "Name of its data centre")
     private String dataCentre;
 
-    /** The kind. */
     @Parameter(names = "--kind", description = "MODEL or SERVICE")
     private BackendKind kind;
 
-    /** What it serves. */
-    @Parameter(names = "--serves", description = "Models it runs, separated by commas, or the one service it offers")
+    @Parameter(names = "--serves", description = "Models that it serves, separated by commas, or its service")
     private List<String> serves;
 
-    /** The slots. */
-    @Parameter(names = "--slots", description = "Number of requests that it runs at once")
+    @Parameter(names = "--slots", description = "Number of requests that it runs concurrently")
     private Integer slots;
 
-    /** Whether it checks fencing numbers. */
     @Parameter(
             names = "--checks-fencing",
             arity = 1,
-            description = "true if it refuses orders of an old fencing number")
+            description = "true if it rejects orders with an old fencing number")
     private Boolean checksFencing;
 
     @Override
     public ExitStatus run(PrintStream output) throws CranberrygaugeException {
-        String name = change.word(1, "NAME");
-        return change.change((action, before) -> edit(action, name, before), output);
+        String name = change.argument(1, "NAME");
+        return change.apply((action, before) -> edit(action, name, before), output);
     }
 
-    /**
-     * Works out the edit.
-     *
-     * @param action What to do.
-     * @param name The name.
-     * @param before The configuration in force.
-     * @return The edit.
-     * @throws CranberrygaugeException If a setting is missing.
-     */
     private ConfigurationEdit edit(ChangeSettings.Action action, String name, Configuration before)
             throws CranberrygaugeException {
         if (action == ChangeSettings.Action.REMOVE) {
             return new ConfigurationEdit.RemoveBackendServer(name);
         }
-        BackendServer inForce = before.backendServers().stream()
+        BackendServer current = before.backendServers().stream()
                 .filter(server -> server.name().equals(name))
                 .findFirst()
                 .orElse(null);
@@ -84,29 +68,18 @@
                 action.mode(),
                 new BackendServer(
                         name,
-                        pick(address, inForce, BackendServer::address, "--address"),
-                        pick(dataCentre, inForce, BackendServer::dataCentre, "--backend-data-centre"),
-                        pick(kind, inForce, BackendServer::kind, "--kind"),
-                        pick(served, inForce, BackendServer::serves, "--serves"),
-                        inForce == null ? Supply.REGULAR : inForce.supply(),
-                        pick(slots, inForce, BackendServer::slots, "--slots"),
-                        pick(checksFencing, inForce, BackendServer::checksFencing, "--checks-fencing")));
+                        valueOrCurrent(address, current, BackendServer::address, "--address"),
+                        valueOrCurrent(dataCentre, current, BackendServer::dataCentre, "--backend-data-centre"),
+                        valueOrCurrent(kind, current, BackendServer::kind, "--kind"),
+                        valueOrCurrent(served, current, BackendServer::serves, "--serves"),
+                        current == null ? Supply.REGULAR : current.supply(),
+                        valueOrCurrent(slots, current, BackendServer::slots, "--slots"),
+                        valueOrCurrent(checksFencing, current, BackendServer::checksFencing, "--checks-fencing")));
     }
 
-    /**
-     * Picks the value of a setting, or the one in force.
-     *
-     * @param value The value of the setting, or null.
-     * @param inForce The backend server in force, or null.
-     * @param read Reads the value in force.
-     * @param flag The flag.
-     * @param <T> The type.
-     * @return The value.
-     * @throws CranberrygaugeException If there is neither.
-     */
-    private static <T> T pick(T value, BackendServer inForce, Function<BackendServer, T> read, String flag)
+    private static <T> T valueOrCurrent(T value, BackendServer current, Function<BackendServer, T> read, String flag)
             throws CranberrygaugeException {
-        return ChangeSettings.or(value, inForce == null ? null : read.apply(inForce), flag);
+        return ChangeSettings.valueOrCurrent(value, current == null ? null : read.apply(current), flag);
     }
 
     @Override
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ChangeSettings.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ChangeSettings.java
@@ -16,113 +16,92 @@
 import org.cranberrygauge.operator.plan.Difference;
 
 /**
- * The settings of commands that change one part of the configuration in force.
+ * Settings of commands that change one item of the configuration in force.
  *
- * <p>Invariants: the change is based on the version that it was worked out from, so that a racing change is a conflict.
- * Filled in by the settings parser, and used by one thread.
+ * <p>Invariants: the change is based on the version that it was computed from, so that a concurrent change is a
+ * conflict. Filled in by the settings parser, and used by one thread.
  */
 public final class ChangeSettings {
 
-    /** What to do and to what. */
     @Parameter(description = "add|change|remove NAME", required = true)
-    private List<String> words;
+    private List<String> arguments;
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** The name of the operator. */
-    @Parameter(names = "--operator", description = "Name of the operator, which the log keeps")
+    @Parameter(names = "--operator", description = "Name of the operator, recorded in the log")
     private String operator = System.getProperty("user.name");
 
-    /** Whether only to show what would change. */
     @Parameter(names = "--dry-run", description = "Shows what would change, and changes nothing")
     private boolean dryRun;
 
-    /** What an operator may do to a part. */
+    /** What a command does to an item. */
     enum Action {
-        /** The part is new. */
+        /** The item must be new. */
         ADD,
-        /** The part is there. */
+        /** The item must exist. */
         CHANGE,
-        /** The part goes. */
+        /** The item is removed. */
         REMOVE;
 
-        /**
-         * Returns the mode of an edit that puts a part.
-         *
-         * @return The mode.
-         */
+        /** Returns the mode of an edit that adds or changes an item. */
         ConfigurationEdit.Mode mode() {
             return this == ADD ? ConfigurationEdit.Mode.ADD : ConfigurationEdit.Mode.CHANGE;
         }
     }
 
-    /** Works out an edit from the configuration in force. */
+    /** Computes an edit of the configuration in force. */
     interface EditSource {
 
         /**
-         * Works out the edit.
+         * Computes the edit.
          *
-         * @param action What to do.
          * @param before The configuration in force.
-         * @return The edit.
-         * @throws CranberrygaugeException If the settings do not fit.
+         * @throws CranberrygaugeException If the settings do not fit the action or the configuration.
          */
         ConfigurationEdit edit(Action action, Configuration before) throws CranberrygaugeException;
     }
 
     /**
-     * Returns one of the words.
+     * Returns one of the arguments.
      *
      * @param index The index, from 1 for the first name.
-     * @param what What the word names.
-     * @return The word.
-     * @throws CranberrygaugeException If it is missing.
+     * @param placeholder The placeholder of the argument in the help.
+     * @throws CranberrygaugeException If the argument is missing.
      */
-    String word(int index, String what) throws CranberrygaugeException {
-        if (words.size() <= index) {
-            throw invalid(what + " is missing; expected add|change|remove and " + what);
+    String argument(int index, String placeholder) throws CranberrygaugeException {
+        if (arguments.size() <= index) {
+            throw invalid(placeholder + " is missing; expected add|change|remove and " + placeholder);
         }
-        return words.get(index);
+        return arguments.get(index);
     }
 
     /**
-     * Returns the value of a setting, or the one in force.
+     * Returns the value of a setting, or else the value in force.
      *
-     * @param value The value of the setting, or null.
-     * @param inForce The value in force, or null.
-     * @param flag The flag.
-     * @param <T> The type.
-     * @return The value.
-     * @throws CranberrygaugeException If there is neither.
+     * @param value The value of the setting, or null if it is not set.
+     * @param current The value in force, or null if there is none.
+     * @throws CranberrygaugeException If both are null.
      */
-    static <T> T or(T value, T inForce, String flag) throws CranberrygaugeException {
-        if (value == null && inForce == null) {
-            throw invalid(flag + " is missing; it is required to add");
+    static <T> T valueOrCurrent(T value, T current, String flag) throws CranberrygaugeException {
+        if (value == null && current == null) {
+            throw invalid(flag + " is missing; it is required for add");
         }
-        return value == null ? inForce : value;
+        return value == null ? current : value;
     }
 
-    /**
-     * Builds the error of settings that do not fit.
-     *
-     * @param message The message.
-     * @return The error.
-     */
     static CranberrygaugeException invalid(String message) {
         return new CranberrygaugeException(ErrorCode.INVALID_REQUEST, message);
     }
 
     /**
-     * Changes the configuration in force.
+     * Changes the configuration in force, or only prints the differences of a dry run.
      *
-     * @param source Works out the edit.
-     * @param output Takes what is told.
-     * @return How it ended.
-     * @throws CranberrygaugeException If the edit does not fit or the log does not answer.
+     * @param output Receives the differences and the outcome.
+     * @return How the change ended.
+     * @throws CranberrygaugeException If the edit is rejected or the log does not answer.
      */
-    ExitStatus change(EditSource source, PrintStream output) throws CranberrygaugeException {
+    ExitStatus apply(EditSource source, PrintStream output) throws CranberrygaugeException {
         Action action = action();
         try {
             LogSession session = platform.open(operator);
@@ -141,18 +120,13 @@
         }
     }
 
-    /**
-     * Reads what to do.
-     *
-     * @return The action.
-     * @throws CranberrygaugeException If it is none.
-     */
     private Action action() throws CranberrygaugeException {
-        return switch (words.get(0)) {
+        return switch (arguments.get(0)) {
             case "add" -> Action.ADD;
             case "change" -> Action.CHANGE;
             case "remove" -> Action.REMOVE;
-            default -> throw invalid("\"" + words.get(0) + "\" is no action; allowed are add, change and remove");
+            default ->
+                throw invalid("\"" + arguments.get(0) + "\" is not an action; allowed are add, change and remove");
         };
     }
 }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/CheckCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/CheckCommand.java
@@ -19,14 +19,13 @@
 import org.cranberrygauge.operator.questionnaire.YamlFileReader;
 
 /**
- * Checks a questionnaire and tells each problem with file, line and field.
+ * Checks a questionnaire and prints each problem with file, line and field.
  *
- * <p>Writes nothing. Filled in by the settings parser, and used by one thread.
+ * <p>Writes no file. Filled in by the settings parser, and used by one thread.
  */
-@Parameters(commandDescription = "Checks a filled-in questionnaire; tells file, line and field of each problem")
+@Parameters(commandDescription = "Checks a filled-in questionnaire; prints file, line and field of each problem")
 public final class CheckCommand implements Command {
 
-    /** The questionnaire. */
     @Parameter(names = "--questionnaire", required = true, description = "File with the answers, as YAML")
     private Path questionnaire;
 
@@ -45,13 +44,6 @@
         return problems.isEmpty() ? ExitStatus.DONE : ExitStatus.INVALID;
     }
 
-    /**
-     * Reads a file.
-     *
-     * @param file The file.
-     * @return The text.
-     * @throws CranberrygaugeException If it can't be read.
-     */
     private static String text(Path file) throws CranberrygaugeException {
         try {
             return Files.readString(file);
@@ -61,17 +53,11 @@
         }
     }
 
-    /**
-     * Finds the lines of the fields.
-     *
-     * @param text The text, which was read before.
-     * @return The lines.
-     */
     private static AnswerLineIndex lines(String text) {
         try {
             return AnswerLineIndex.of(text);
         } catch (IOException exception) {
-            throw new IllegalStateException("the answers were read before", exception);
+            throw new IllegalStateException("YAML that was parsed before can't be parsed", exception);
         }
     }
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/Command.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/Command.java
@@ -4,22 +4,17 @@
 import java.util.List;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 
-/** One command of the command line. */
+/** A command of the command line. */
 public interface Command {
 
     /**
      * Runs the command.
      *
-     * @param output Takes what the command prints.
-     * @return The exit status.
-     * @throws CranberrygaugeException If it fails.
+     * @param output Receives what the command prints.
+     * @throws CranberrygaugeException If the command fails.
      */
     ExitStatus run(PrintStream output) throws CranberrygaugeException;
 
-    /**
-     * Returns examples of use for the help.
-     *
-     * @return The arguments after the name of the program, one example a line.
-     */
+    /** Returns examples for the help, each without the name of the program. */
     List<String> examples();
 }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/CustomerCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/CustomerCommand.java
@@ -17,85 +17,64 @@
 /**
  * Adds, changes and removes customers.
  *
- * <p>Invariants: a new customer gets one key, which is told once; a changed customer keeps its keys. Filled in by the
- * settings parser, and used by one thread.
+ * <p>Invariants: a new customer gets one key, which is printed once; a changed customer keeps its keys. Filled in by
+ * the settings parser, and used by one thread.
  */
 @Parameters(commandDescription = "Adds, changes or removes the customer NAME")
 public final class CustomerCommand implements Command {
 
-    /** The settings of the change. */
     @ParametersDelegate
     private final ChangeSettings change = new ChangeSettings();
 
-    /** The weight. */
     @Parameter(names = "--weight", description = "Weight of the customer's fair share, a whole number above 0")
     private Integer weight;
 
-    /** The classes. */
     @Parameter(names = "--classes", description = "Names of the classes that it may use, separated by commas")
     private List<String> classes;
 
-    /** The source of new keys. */
     private final KeySource keys = new KeySource.Secure();
 
-    /** The new key, or null. */
-    private String added;
+    /** The new key in plain text, or null if none was generated. */
+    private String newKey;
 
     @Override
     public ExitStatus run(PrintStream output) throws CranberrygaugeException {
-        String name = change.word(1, "NAME");
-        ExitStatus status = change.change((action, before) -> edit(action, name, before), output);
-        tell(status, added, output);
+        String name = change.argument(1, "NAME");
+        ExitStatus status = change.apply((action, before) -> edit(action, name, before), output);
+        printKey(status, newKey, output);
         return status;
     }
 
     /**
-     * Tells a new key if it may be in force.
+     * Prints a new key if it may be in force.
      *
-     * @param status How the change ended.
-     * @param key The key, or null.
-     * @param output Takes what is told.
+     * @param key The key in plain text, or null if none was generated.
      */
-    static void tell(ExitStatus status, String key, PrintStream output) {
+    static void printKey(ExitStatus status, String key, PrintStream output) {
         if (key != null && (status == ExitStatus.DONE || status == ExitStatus.UNCONFIRMED)) {
             output.println("new key, shown only now: " + key);
         }
     }
 
-    /**
-     * Works out the edit.
-     *
-     * @param action What to do.
-     * @param name The name.
-     * @param before The configuration in force.
-     * @return The edit.
-     * @throws CranberrygaugeException If a setting is missing.
-     */
     private ConfigurationEdit edit(ChangeSettings.Action action, String name, Configuration before)
             throws CranberrygaugeException {
         if (action == ChangeSettings.Action.REMOVE) {
             return new ConfigurationEdit.RemoveCustomer(name);
         }
-        Customer inForce = before.customer(name).orElse(null);
-        int chosenWeight = ChangeSettings.or(weight, inForce == null ? null : inForce.weight(), "--weight");
-        Set<String> chosenClasses = ChangeSettings.or(
-                classes == null ? null : Set.copyOf(classes), inForce == null ? null : inForce.classes(), "--classes");
+        Customer current = before.customer(name).orElse(null);
+        int chosenWeight = ChangeSettings.valueOrCurrent(weight, current == null ? null : current.weight(), "--weight");
+        Set<String> chosenClasses = ChangeSettings.valueOrCurrent(
+                classes == null ? null : Set.copyOf(classes), current == null ? null : current.classes(), "--classes");
         return new ConfigurationEdit.PutCustomer(
-                action.mode(), new Customer(name, chosenWeight, keysOf(inForce), chosenClasses));
+                action.mode(), new Customer(name, chosenWeight, keysOf(current), chosenClasses));
     }
 
-    /**
-     * Returns the keys of a customer, or a new one.
-     *
-     * @param inForce The customer in force, or null.
-     * @return The keys.
-     */
-    private List<CustomerKey> keysOf(Customer inForce) {
-        if (inForce != null) {
-            return inForce.keys();
+    private List<CustomerKey> keysOf(Customer current) {
+        if (current != null) {
+            return current.keys();
         }
-        added = keys.next();
-        return List.of(new CustomerKey("first", KeyDigest.of(added)));
+        newKey = keys.next();
+        return List.of(new CustomerKey("first", KeyDigest.of(newKey)));
     }
 
     @Override
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ExplainCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ExplainCommand.java
@@ -18,38 +18,34 @@
 import org.cranberrygauge.runtime.event.EventRingBuffer;
 
 /**
- * Shows what was decided about a request, a backend server or an order, from the log and from the gateways.
+ * Shows the decisions about a request, a backend server or an order, from the log and from the gateways.
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
 @Parameters(commandDescription = "Shows what was decided about the request, backend server or order NAME, and by whom")
 public final class ExplainCommand implements Command {
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** The subject. */
     @Parameter(description = "NAME", required = true)
     private String subject;
 
-    /** Whether to print JSON. */
     @Parameter(names = "--json", description = "Prints JSON")
     private boolean json;
 
     /**
-     * One line of the explanation.
+     * A step of the explanation.
      *
-     * @param atMillis The time in milliseconds of the epoch.
-     * @param source Who tells it.
+     * @param atMillis The time in milliseconds since the epoch.
+     * @param source The gateway or the log offset that the step was read from.
      * @param what What happened.
      */
     record Step(long atMillis, String source, String what) {}
 
     /**
-     * The whole explanation.
+     * The explanation of a subject, as printed in JSON.
      *
-     * @param subject The subject.
      * @param steps The steps, oldest first.
      * @param silentGateways The gateways that did not answer.
      */
@@ -60,7 +56,7 @@
         try {
             LogSession session = platform.open("explain");
             session.readToEnd();
-            List<Step> steps = new ArrayList<>(logged(subject, session.history()));
+            List<Step> steps = new ArrayList<>(loggedSteps(subject, session.history()));
             OperationsClient operations = platform.operations();
             Map<NetworkAddress, String> answers = operations.decisions(subject);
             for (Map.Entry<NetworkAddress, String> answer : answers.entrySet()) {
@@ -70,25 +66,18 @@
                 }
             }
             steps.sort(Comparator.comparingLong(Step::atMillis));
-            List<String> silent = operations.addresses().stream()
+            List<String> silentGateways = operations.addresses().stream()
                     .filter(address -> !answers.containsKey(address))
                     .map(NetworkAddress::toString)
                     .toList();
-            tell(new Explanation(subject, steps, silent), output);
+            print(new Explanation(subject, steps, silentGateways), output);
             return steps.isEmpty() ? ExitStatus.INVALID : ExitStatus.DONE;
         } finally {
             platform.close();
         }
     }
 
-    /**
-     * Finds what the log tells of a subject.
-     *
-     * @param subject The subject.
-     * @param history The history.
-     * @return The steps.
-     */
-    private static List<Step> logged(String subject, LogHistory history) {
+    private static List<Step> loggedSteps(String subject, LogHistory history) {
         List<Step> steps = new ArrayList<>();
         for (LogHistory.OrderStep order : history.orders()) {
             if (order.orderId().equals(subject)) {
@@ -108,13 +97,7 @@
         return steps;
     }
 
-    /**
-     * Writes an explanation.
-     *
-     * @param explanation The explanation.
-     * @param output Takes the text.
-     */
-    private void tell(Explanation explanation, PrintStream output) {
+    private void print(Explanation explanation, PrintStream output) {
         if (json) {
             output.println(JsonCodec.write(explanation));
             return;
@@ -124,8 +107,8 @@
                 .forEach(step -> output.println(
                         Instant.ofEpochMilli(step.atMillis()) + " " + step.source() + ": " + step.what()));
         if (explanation.steps().isEmpty()) {
-            output.println("nothing is known of \"" + explanation.subject()
-                    + "\"; gateways keep only their newest events, and need --operations-addresses");
+            output.println("nothing is known about \"" + explanation.subject()
+                    + "\"; gateways keep only their newest events and are queried only with --operations-addresses");
         }
         explanation.silentGateways().forEach(address -> output.println("no answer from gateway " + address));
     }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/GenerateCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/GenerateCommand.java
@@ -26,19 +26,15 @@
 @Parameters(commandDescription = "Generates a configuration from a filled-in questionnaire")
 public final class GenerateCommand implements Command {
 
-    /** The questionnaire. */
     @Parameter(names = "--questionnaire", required = true, description = "File with the answers, as YAML")
     private Path questionnaire;
 
-    /** The configuration whose keys are kept. */
     @Parameter(names = "--before", description = "File with the configuration whose keys are kept, as JSON")
     private Path before;
 
-    /** The file for the configuration. */
     @Parameter(names = "--output", required = true, description = "File for the configuration, as JSON")
     private Path output;
 
-    /** The file for the new keys. */
     @Parameter(names = "--keys-output", required = true, description = "File for the keys of new customers, as JSON")
     private Path keysOutput;
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/HistoryCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/HistoryCommand.java
@@ -12,18 +12,16 @@
 import org.cranberrygauge.protocol.JsonCodec;
 
 /**
- * Shows who changed the configuration.
+ * Shows the changes of the configuration.
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
 @Parameters(commandDescription = "Shows who changed the configuration: time, offset (the version), operator, verdict")
 public final class HistoryCommand implements Command {
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** Whether to print JSON. */
     @Parameter(names = "--json", description = "Prints JSON")
     private boolean json;
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/KeyCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/KeyCommand.java
@@ -13,51 +13,43 @@
 /**
  * Adds, replaces and withdraws keys of customers.
  *
- * <p>Invariants: a new key is told once, after it may be in force; only its digest is kept. Filled in by the settings
- * parser, and used by one thread.
+ * <p>Invariants: a new key is printed once, after it may be in force; only its digest is stored. Filled in by the
+ * settings parser, and used by one thread.
  */
 @Parameters(commandDescription = "Adds, replaces (change) or withdraws (remove) the key NAME of CUSTOMER")
 public final class KeyCommand implements Command {
 
-    /** The settings of the change. */
     @ParametersDelegate
     private final ChangeSettings change = new ChangeSettings();
 
-    /** The source of new keys. */
     private final KeySource keys;
 
-    /** The new key, or null. */
-    private String added;
+    /** The new key in plain text, or null if none was generated. */
+    private String newKey;
 
-    /** Creates a command with keys that nobody can guess. */
     public KeyCommand() {
         this(new KeySource.Secure());
     }
 
-    /**
-     * Creates a command.
-     *
-     * @param keys The source of new keys.
-     */
     KeyCommand(KeySource keys) {
         this.keys = keys;
     }
 
     @Override
     public ExitStatus run(PrintStream output) throws CranberrygaugeException {
-        String customer = change.word(1, "CUSTOMER");
-        String name = change.word(2, "NAME");
-        ExitStatus status = change.change(
+        String customer = change.argument(1, "CUSTOMER");
+        String name = change.argument(2, "NAME");
+        ExitStatus status = change.apply(
                 (action, before) -> {
                     if (action == ChangeSettings.Action.REMOVE) {
                         return new ConfigurationEdit.RemoveKey(customer, name);
                     }
-                    added = keys.next();
-                    CustomerKey key = new CustomerKey(name, KeyDigest.of(added));
+                    newKey = keys.next();
+                    CustomerKey key = new CustomerKey(name, KeyDigest.of(newKey));
                     return new ConfigurationEdit.PutKey(action.mode(), customer, key);
                 },
                 output);
-        CustomerCommand.tell(status, added, output);
+        CustomerCommand.printKey(status, newKey, output);
         return status;
     }
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/PlanCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/PlanCommand.java
@@ -19,31 +19,27 @@
 import org.cranberrygauge.protocol.JsonCodec;
 
 /**
- * Shows what a configuration would change.
+ * Shows the differences between a configuration and the one in force.
  *
  * <p>Changes nothing. Filled in by the settings parser, and used by one thread.
  */
-@Parameters(commandDescription = "Shows what a configuration would change in what is in force")
+@Parameters(commandDescription = "Shows the differences between a configuration and the one in force")
 public final class PlanCommand implements Command {
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** The configuration. */
     @Parameter(names = "--configuration", required = true, description = "File with the configuration, as JSON")
     private Path configurationFile;
 
-    /** Whether to print JSON. */
     @Parameter(names = "--json", description = "Prints JSON")
     private boolean json;
 
     /**
-     * The plan as JSON.
+     * The plan, as printed in JSON.
      *
      * @param baseVersion The version in force.
-     * @param differences The differences.
-     * @param problems The problems that would prevent it.
+     * @param problems The problems for which the configuration would be rejected.
      */
     record Plan(long baseVersion, List<Difference> differences, List<ConfigurationProblem> problems) {}
 
@@ -60,7 +56,7 @@
             if (json) {
                 output.println(JsonCodec.write(plan));
             } else {
-                tell(plan, output);
+                print(plan, output);
             }
             return plan.problems().isEmpty() ? ExitStatus.DONE : ExitStatus.INVALID;
         } catch (IOException exception) {
@@ -71,13 +67,7 @@
         }
     }
 
-    /**
-     * Writes a plan for people.
-     *
-     * @param plan The plan.
-     * @param output Takes the text.
-     */
-    private void tell(Plan plan, PrintStream output) {
+    private void print(Plan plan, PrintStream output) {
         plan.differences().forEach(difference -> output.println(difference.line()));
         plan.problems().forEach(problem -> output.println(configurationFile + ": " + problem));
         if (plan.differences().isEmpty()) {
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/PlatformSettings.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/PlatformSettings.java
@@ -15,13 +15,12 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * The settings of commands that talk to the platform.
+ * Settings of commands that call the platform.
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
 public final class PlatformSettings {
 
-    /** The address of the platform. */
     @Parameter(
             names = "--platform-address",
             required = true,
@@ -29,32 +28,26 @@
             description = "HOST:PORT of the platform's interfaces")
     private NetworkAddress platformAddress;
 
-    /** The time after which a call is given up. */
     @Parameter(
             names = "--timeout-millis",
             validateWith = PositiveNumber.class,
-            description = "Milliseconds after which the command gives up")
+            description = "Milliseconds after which the command times out")
     private long timeoutMillis = 10_000;
 
-    /** The addresses of the gateways' operations. */
     @Parameter(
             names = "--operations-addresses",
             converter = AddressConverter.class,
-            description = "HOST:PORT of each gateway's operations, separated by commas, for figures and decisions")
+            description =
+                    "HOST:PORT of each gateway's operations server, separated by commas, for metrics and decisions")
     private List<NetworkAddress> operationsAddresses = new ArrayList<>();
 
-    /** The client of the platform, made when first needed. */
+    /** Null until a session is opened. */
     private HttpPlatform platform;
 
-    /** The Vert.x instance, made when first needed. */
+    /** Null until a session is opened. */
     private Vertx vertx;
 
-    /**
-     * Opens a session with the log.
-     *
-     * @param operator The name of the operator.
-     * @return The session.
-     */
+    /** Opens a session with the log; close it with {@link #close()}. */
     public LogSession open(String operator) {
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         TimeSource time = TimeSource.System.INSTANCE;
@@ -63,34 +56,21 @@
                 platform, time, Program.incarnation("operator:" + operator, time.wallMillis()), timeoutMillis);
     }
 
-    /**
-     * Returns the client of the platform.
-     *
-     * @return The client, once a session was opened.
-     */
+    /** Returns the client of the platform, or null if no session has been opened. */
     public HttpPlatform platform() {
         return platform;
     }
 
-    /**
-     * Returns a client of the gateways' operations.
-     *
-     * @return The client, once a session was opened.
-     */
+    /** Returns a client of the gateways' operations servers; requires that a session has been opened. */
     public OperationsClient operations() {
         return new OperationsClient(vertx, operationsAddresses, timeoutMillis);
     }
 
-    /**
-     * Returns the time after which the command gives up.
-     *
-     * @return The time in milliseconds.
-     */
     public long timeoutMillis() {
         return timeoutMillis;
     }
 
-    /** Closes what was opened. */
+    /** Closes the session's connections; does nothing if none was opened. */
     public void close() {
         if (vertx != null) {
             vertx.close();
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/QuestionnaireCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/QuestionnaireCommand.java
@@ -22,37 +22,27 @@
 import org.cranberrygauge.operator.questionnaire.QuestionnairePrompter;
 
 /**
- * Writes a questionnaire: a commented template, or the answers given step by step on a terminal.
+ * Writes a questionnaire: a commented template, or answers entered on a terminal.
  *
- * <p>Invariants: a file that is there already is never replaced. Filled in by the settings parser, and used by one thread.
+ * <p>Invariants: an existing file is never replaced. Filled in by the settings parser, and used by one thread.
  */
-@Parameters(commandDescription = "Writes a commented questionnaire, or asks step by step with --ask")
+@Parameters(commandDescription = "Writes a commented questionnaire, or asks the questions one by one with --ask")
 public final class QuestionnaireCommand implements Command {
 
-    /** The name of the template. */
     private static final String TEMPLATE = "/questionnaire-template.yaml";
 
-    /** The file for the questionnaire. */
     @Parameter(names = "--output", required = true, description = "File for the questionnaire, as YAML; must be new")
     private Path file;
 
-    /** Whether to ask step by step. */
-    @Parameter(names = "--ask", description = "Asks step by step on the terminal")
+    @Parameter(names = "--ask", description = "Asks the questions one by one on the terminal")
     private boolean ask;
 
-    /** Where answers come from. */
     private final BufferedReader input;
 
-    /** Creates a command that asks on the terminal. */
     public QuestionnaireCommand() {
         this(new BufferedReader(new InputStreamReader(System.in, Charset.defaultCharset())));
     }
 
-    /**
-     * Creates a command.
-     *
-     * @param input Where answers come from.
-     */
     QuestionnaireCommand(BufferedReader input) {
         this.input = input;
     }
@@ -60,40 +50,26 @@
     @Override
     public ExitStatus run(PrintStream output) throws CranberrygaugeException {
         try {
-            String text = ask ? asked(output) : template();
+            String text = ask ? prompt(output) : template();
             Files.writeString(file, text, StandardOpenOption.CREATE_NEW);
             output.println("wrote " + file + "; next: check --questionnaire " + file);
             return ExitStatus.DONE;
         } catch (FileAlreadyExistsException exception) {
             throw new CranberrygaugeException(
-                    ErrorCode.INVALID_REQUEST, file + " is there already; nothing was written", exception);
+                    ErrorCode.INVALID_REQUEST, file + " already exists; nothing was written", exception);
         } catch (IOException exception) {
             throw new CranberrygaugeException(
                     ErrorCode.INVALID_REQUEST, file + " can't be written: " + exception.getMessage(), exception);
         }
     }
 
-    /**
-     * Asks all questions.
-     *
-     * @param output Where questions go.
-     * @return The answers as YAML.
-     * @throws CranberrygaugeException If the input ends early.
-     * @throws JsonProcessingException If the answers can't be written.
-     */
-    private String asked(PrintStream output) throws CranberrygaugeException, JsonProcessingException {
+    private String prompt(PrintStream output) throws CranberrygaugeException, JsonProcessingException {
         return YAMLMapper.builder()
                 .disable(SerializationFeature.WRITE_DATES_AS_TIMESTAMPS)
                 .build()
                 .writeValueAsString(new QuestionnairePrompter(input, output).ask());
     }
 
-    /**
-     * Reads the template.
-     *
-     * @return The template.
-     * @throws IOException If it can't be read.
-     */
     static String template() throws IOException {
         try (InputStream stream = QuestionnaireCommand.class.getResourceAsStream(TEMPLATE)) {
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ScheduleCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/ScheduleCommand.java
@@ -20,46 +20,32 @@
 @Parameters(commandDescription = "Adds, changes or removes the weekly cleaning window of DATA_CENTRE")
 public final class ScheduleCommand implements Command {
 
-    /** The settings of the change. */
     @ParametersDelegate
     private final ChangeSettings change = new ChangeSettings();
 
-    /** The day of the week. */
     @Parameter(names = "--day", description = "Day of the week in UTC, MONDAY to SUNDAY")
     private DayOfWeek day;
 
-    /** The time of day. */
     @Parameter(names = "--start", description = "Time of day in UTC as HH:MM")
     private String start;
 
-    /** The length. */
     @Parameter(names = "--duration-minutes", description = "Length in minutes")
     private Integer durationMinutes;
 
     @Override
     public ExitStatus run(PrintStream output) throws CranberrygaugeException {
-        String dataCentre = change.word(1, "DATA_CENTRE");
+        String dataCentre = change.argument(1, "DATA_CENTRE");
         Integer startMinute = start == null ? null : TimeOfDay.minute("--start", start);
-        return change.change((action, before) -> edit(action, dataCentre, startMinute, before), output);
+        return change.apply((action, before) -> edit(action, dataCentre, startMinute, before), output);
     }
 
-    /**
-     * Works out the edit.
-     *
-     * @param action What to do.
-     * @param dataCentre The name of the data centre.
-     * @param startMinute The minute of the day, or null.
-     * @param before The configuration in force.
-     * @return The edit.
-     * @throws CranberrygaugeException If a setting is missing.
-     */
     private ConfigurationEdit edit(
             ChangeSettings.Action action, String dataCentre, Integer startMinute, Configuration before)
             throws CranberrygaugeException {
         if (action == ChangeSettings.Action.REMOVE) {
             return new ConfigurationEdit.RemoveCleaningWindow(dataCentre);
         }
-        CleaningWindow inForce = before.cleaningWindows().stream()
+        CleaningWindow current = before.cleaningWindows().stream()
                 .filter(window -> window.dataCentre().equals(dataCentre))
                 .findFirst()
                 .orElse(null);
@@ -67,11 +53,12 @@
                 action.mode(),
                 new CleaningWindow(
                         dataCentre,
-                        ChangeSettings.or(day, inForce == null ? null : inForce.day(), "--day"),
-                        ChangeSettings.or(startMinute, inForce == null ? null : inForce.startMinute(), "--start"),
-                        ChangeSettings.or(
+                        ChangeSettings.valueOrCurrent(day, current == null ? null : current.day(), "--day"),
+                        ChangeSettings.valueOrCurrent(
+                                startMinute, current == null ? null : current.startMinute(), "--start"),
+                        ChangeSettings.valueOrCurrent(
                                 durationMinutes,
-                                inForce == null ? null : inForce.durationMinutes(),
+                                current == null ? null : current.durationMinutes(),
                                 "--duration-minutes")));
     }
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/StatusCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/StatusCommand.java
@@ -12,20 +12,18 @@
 import org.cranberrygauge.protocol.JsonCodec;
 
 /**
- * Shows how the system does, in one screen.
+ * Shows the status of the system on one screen.
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
 @Parameters(
-        commandDescription = "Shows attainment by class, the worst-served customer, cost, who is in charge and"
-                + " what is in force on each gateway")
+        commandDescription = "Shows attainment by class, the worst-served customer, cost, the lease holder and"
+                + " the configuration version of each gateway")
 public final class StatusCommand implements Command {
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** Whether to print JSON. */
     @Parameter(names = "--json", description = "Prints JSON")
     private boolean json;
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/UsageCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/UsageCommand.java
@@ -12,18 +12,16 @@
 import org.cranberrygauge.protocol.JsonCodec;
 
 /**
- * Shows usage windows as they are reported.
+ * Shows the closed usage windows.
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
 @Parameters(commandDescription = "Shows the closed usage windows, and when the platform acknowledged each")
 public final class UsageCommand implements Command {
 
-    /** The settings of the platform. */
     @ParametersDelegate
     private final PlatformSettings platform = new PlatformSettings();
 
-    /** Whether to print JSON. */
     @Parameter(names = "--json", description = "Prints JSON")
     private boolean json;
 
@@ -36,7 +34,7 @@
             if (json) {
                 output.println(JsonCodec.write(windows));
             } else {
-                windows.forEach(window -> tell(window, output));
+                windows.forEach(window -> print(window, output));
             }
             return ExitStatus.DONE;
         } finally {
@@ -44,13 +42,7 @@
         }
     }
 
-    /**
-     * Writes a window for people.
-     *
-     * @param window The window.
-     * @param output Takes the text.
-     */
-    private static void tell(LogHistory.Window window, PrintStream output) {
+    private static void print(LogHistory.Window window, PrintStream output) {
         String reported = window.reportedAtMillis() == 0
                 ? "not yet acknowledged"
                 : "acknowledged " + Instant.ofEpochMilli(window.reportedAtMillis());
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/package-info.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/package-info.java
@@ -1,2 +1,2 @@
-/** The commands. */
+/** The commands of the command line. */
 package org.cranberrygauge.operator.command;
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/package-info.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of operators. */
+/** The command line for operators. */
 package org.cranberrygauge.operator;
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/OperationsClient.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/OperationsClient.java
@@ -18,42 +18,26 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
- * Reads from the operations address of gateways; one that does not answer is left out.
+ * Queries the operations servers of gateways; a gateway that does not answer in time is omitted.
  *
  * <p>Used by one thread.
  */
 public final class OperationsClient {
 
-    /** The HTTP status of an answer. */
     private static final int OK = 200;
 
-    /** The HTTP client. */
     private final HttpClient client;
 
-    /** The addresses of the gateways. */
     private final List<NetworkAddress> addresses;
 
-    /** The time after which a gateway is given up in milliseconds. */
     private final long timeoutMillis;
 
-    /**
-     * Creates a client.
-     *
-     * @param vertx The Vert.x instance.
-     * @param addresses The addresses of the gateways.
-     * @param timeoutMillis The time after which a gateway is given up in milliseconds.
-     */
     public OperationsClient(Vertx vertx, List<NetworkAddress> addresses, long timeoutMillis) {
         this.client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout((int) timeoutMillis));
         this.addresses = List.copyOf(addresses);
         this.timeoutMillis = timeoutMillis;
     }
 
-    /**
-     * Returns the addresses of the gateways.
-     *
-     * @return The addresses.
-     */
     public List<NetworkAddress> addresses() {
         return addresses;
     }
@@ -61,7 +45,7 @@
     /**
      * Reads the metrics of each gateway.
      *
-     * @return The text by address; a gateway that does not answer is left out.
+     * @return The metrics in text format, by address.
      */
     public Map<NetworkAddress, String> metrics() {
         return read("/metrics");
@@ -70,28 +54,21 @@
     /**
      * Reads the state of each gateway.
      *
-     * @return The JSON text by address; a gateway that does not answer is left out.
+     * @return The state as JSON, by address.
      */
     public Map<NetworkAddress, String> states() {
         return read("/state");
     }
 
     /**
-     * Reads what each gateway decided about a subject.
+     * Reads the decisions of each gateway about a subject.
      *
-     * @param subject The subject.
-     * @return The JSON text by address; a gateway that does not answer is left out.
+     * @return The decisions as JSON, by address.
      */
     public Map<NetworkAddress, String> decisions(String subject) {
         return read("/decisions?about=" + URLEncoder.encode(subject, StandardCharsets.UTF_8));
     }
 
-    /**
-     * Reads a path from each gateway.
-     *
-     * @param path The path.
-     * @return The text by address.
-     */
     private Map<NetworkAddress, String> read(String path) {
         Map<NetworkAddress, String> texts = new LinkedHashMap<>();
         for (NetworkAddress address : addresses) {
@@ -114,12 +91,6 @@
         return texts;
     }
 
-    /**
-     * Reads the body of an answer.
-     *
-     * @param response The answer.
-     * @return The body, or a failure if the gateway refused.
-     */
     private static Future<Buffer> body(HttpClientResponse response) {
         if (response.statusCode() != OK) {
             return Future.failedFuture("status " + response.statusCode());
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/OutageView.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/OutageView.java
@@ -6,34 +6,30 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
- * What can be told while the log does not answer: what each gateway says of itself.
+ * What is known during a log outage: the state that each gateway reports of itself.
  *
- * <p>Invariants: nothing is told as known that only the log knows. Immutable and safe for use by several threads.
+ * <p>Invariants: contains nothing that only the log can tell. Immutable and safe for use by several threads.
  *
  * @param reason Why the log can't be read.
- * @param gateways What each gateway says.
  */
 public record OutageView(String reason, List<GatewayState> gateways) {
 
-    /** Copies the list. */
     public OutageView {
         gateways = List.copyOf(gateways);
     }
 
     /**
-     * What a gateway says.
+     * The state that a gateway reports.
      *
-     * @param address The address of its operations.
-     * @param state Its state as JSON, or an empty string if it does not answer.
+     * @param address The address of its operations server.
+     * @param state The state as JSON, or an empty string if the gateway does not answer.
      */
     public record GatewayState(String address, String state) {}
 
     /**
-     * Asks the gateways.
+     * Queries the gateways.
      *
      * @param reason Why the log can't be read.
-     * @param operations The operations of the gateways.
-     * @return The view.
      */
     public static OutageView read(String reason, OperationsClient operations) {
         Map<NetworkAddress, String> states = operations.states();
@@ -43,17 +39,13 @@
         return new OutageView(reason, gateways);
     }
 
-    /**
-     * Writes the view for people.
-     *
-     * @return The lines.
-     */
+    /** Formats the view as lines of text. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         lines.add(reason);
-        lines.add("attainment, cost and who is in charge are not known; gateways say of themselves:");
+        lines.add("attainment, cost and lease holder are unknown; state reported by gateways:");
         if (gateways.isEmpty()) {
-            lines.add("none was asked; state --operations-addresses");
+            lines.add("no gateway was queried; set --operations-addresses");
         }
         gateways.forEach(gateway ->
                 lines.add(gateway.address() + " " + (gateway.state().isEmpty() ? "no answer" : gateway.state())));
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/StatusView.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/StatusView.java
@@ -20,21 +20,21 @@
 import org.cranberrygauge.runtime.platform.GatewayStatusClient;
 
 /**
- * How the system does.
+ * The status of the system.
  *
- * <p>Invariants: what is not known is told as not known, never as good. Immutable and safe for use by several threads.
+ * <p>Invariants: unknown values are shown as unknown, never as good. Immutable and safe for use by several threads.
  *
  * @param version The version of the configuration in force.
  * @param operator The operator who brought it into force.
- * @param leaseHolder The incarnation in charge, or an empty string.
- * @param fencingNumber The fencing number of its lease.
+ * @param leaseHolder The incarnation that holds the lease, or an empty string if none does.
+ * @param fencingNumber The fencing number of the lease.
  * @param lastWindow The number of the last closed usage window.
  * @param classes The classes, highest tier first.
- * @param worstCustomer The customer with the lowest attainment, or an empty string.
+ * @param worstCustomer The customer with the lowest attainment, or an empty string if none is known.
  * @param worstPercent The attainment of that customer in percent.
- * @param ordered The number of backend servers ordered, or -1 if the platform does not answer.
- * @param costPerHour The cost of these for an hour.
- * @param gateways The gateways that joined and did not leave.
+ * @param ordered The number of live backend servers that were ordered, or -1 if the platform does not answer.
+ * @param costPerHour The cost of the ordered backend servers per hour.
+ * @param gateways The member gateways.
  * @param metricsFrom The number of gateways whose metrics were read.
  */
 public record StatusView(
@@ -51,37 +51,30 @@
         List<GatewayLine> gateways,
         int metricsFrom) {
 
-    /** The share of requests that shall meet their target in percent. */
-    private static final double TARGET_PERCENT = 95;
+    /** Classes with a lower attainment are marked. */
+    private static final double TARGET_ATTAINMENT_PERCENT = 95;
 
-    /** Copies the lists. */
     public StatusView {
         classes = List.copyOf(classes);
         gateways = List.copyOf(gateways);
     }
 
     /**
-     * A class.
+     * The status of a class.
      *
-     * @param name The name.
-     * @param tier The tier.
      * @param targetMillis The target for the time to the first token in milliseconds.
-     * @param percent The share of requests that surely met it, in percent.
-     * @param requests The number of requests.
+     * @param percent The share of requests that certainly met the target, in percent.
      */
     public record ClassLine(String name, int tier, long targetMillis, double percent, long requests) {}
 
     /**
-     * A gateway.
+     * The status of a gateway.
      *
-     * @param host The host.
-     * @param dataCentre The data centre.
-     * @param answers Whether it answers.
-     * @param version The version of the configuration in force there.
-     * @param logOffset The offset up to which it read the log.
-     * @param logAgeMillis The time since it read the log's end in milliseconds.
-     * @param inFlight The number of requests in flight.
-     * @param draining Whether it stops.
+     * @param answers Whether the gateway answers.
+     * @param version The version of the configuration that the gateway applies.
+     * @param logOffset The offset up to which the gateway has read the log.
+     * @param logAgeMillis The time since the gateway last read the end of the log in milliseconds.
+     * @param draining Whether the gateway is shutting down.
      */
     public record GatewayLine(
             String host,
@@ -94,13 +87,9 @@
             boolean draining) {}
 
     /**
-     * Reads how the system does.
+     * Reads the status of the system from the log, the gateways and the platform.
      *
-     * @param state The state of the log.
-     * @param operations The operations of the gateways.
-     * @param platform The platform.
-     * @param timeoutMillis The time after which the platform is given up in milliseconds.
-     * @return The view.
+     * @param timeoutMillis The timeout of the call to the platform in milliseconds.
      */
     public static StatusView read(LogState state, OperationsClient operations, Platform platform, long timeoutMillis) {
         Configuration configuration = state.configuration().current().configuration();
@@ -117,7 +106,7 @@
                 state.usage().lastClosed(),
                 configuration.classes().stream()
                         .sorted(Comparator.comparingInt(ServiceClass::tier))
-                        .map(found -> line(found, attainment.ofClass(found.name())))
+                        .map(serviceClass -> line(serviceClass, attainment.ofClass(serviceClass.name())))
                         .toList(),
                 worst.map(Map.Entry::getKey).orElse(""),
                 worst.map(entry -> entry.getValue().percent()).orElse(0.0),
@@ -132,15 +121,11 @@
                 metrics.size());
     }
 
-    /**
-     * Writes the view for people.
-     *
-     * @return The lines.
-     */
+    /** Formats the status as lines of text. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         lines.add("configuration  version " + version + " by " + (operator.isEmpty() ? "nobody" : operator));
-        lines.add("in charge      " + (leaseHolder.isEmpty() ? "nobody" : leaseHolder) + ", fencing number "
+        lines.add("lease holder   " + (leaseHolder.isEmpty() ? "nobody" : leaseHolder) + ", fencing number "
                 + fencingNumber);
         lines.add("usage          last closed window " + lastWindow);
         lines.add("cost           "
@@ -150,46 +135,34 @@
                                 Locale.ROOT, "%d ordered backend servers, %.2f an hour", ordered, costPerHour)));
         lines.add(String.format(
                 Locale.ROOT, "%-24s %4s %10s %9s %12s", "class", "tier", "target", "requests", "attainment"));
-        for (ClassLine found : classes) {
+        for (ClassLine line : classes) {
             lines.add(String.format(
                     Locale.ROOT,
                     "%-24s %4d %7d ms %9d %12s",
-                    found.name(),
-                    found.tier(),
-                    found.targetMillis(),
-                    found.requests(),
-                    shown(found)));
+                    line.name(),
+                    line.tier(),
+                    line.targetMillis(),
+                    line.requests(),
+                    format(line)));
         }
         lines.add("worst served   "
                 + (worstCustomer.isEmpty()
                         ? "not known, no metrics were read"
                         : String.format(Locale.ROOT, "%s, %.1f %%", worstCustomer, worstPercent)));
         lines.add("metrics from   " + metricsFrom + " gateways");
-        gateways.forEach(gateway -> lines.add("gateway        " + shown(gateway)));
+        gateways.forEach(gateway -> lines.add("gateway        " + format(gateway)));
         return lines;
     }
 
-    /**
-     * Writes the attainment of a class.
-     *
-     * @param line The class.
-     * @return The text.
-     */
-    private static String shown(ClassLine line) {
+    private static String format(ClassLine line) {
         if (line.requests() == 0) {
             return "no request";
         }
-        String mark = line.percent() < TARGET_PERCENT ? " !" : "";
+        String mark = line.percent() < TARGET_ATTAINMENT_PERCENT ? " !" : "";
         return String.format(Locale.ROOT, "%.1f %%%s", line.percent(), mark);
     }
 
-    /**
-     * Writes a gateway.
-     *
-     * @param line The gateway.
-     * @return The text.
-     */
-    private static String shown(GatewayLine line) {
+    private static String format(GatewayLine line) {
         if (!line.answers()) {
             return line.host() + " " + line.dataCentre() + ": no answer";
         }
@@ -198,24 +171,15 @@
                 + (line.draining() ? ", draining" : "");
     }
 
-    /**
-     * Builds the line of a class.
-     *
-     * @param found The class.
-     * @param counts Its counts.
-     * @return The line.
-     */
-    private static ClassLine line(ServiceClass found, Attainment.Counts counts) {
+    private static ClassLine line(ServiceClass serviceClass, Attainment.Counts counts) {
         return new ClassLine(
-                found.name(), found.tier(), found.firstTokenTargetMillis(), counts.percent(), counts.total());
+                serviceClass.name(),
+                serviceClass.tier(),
+                serviceClass.firstTokenTargetMillis(),
+                counts.percent(),
+                counts.total());
     }
 
-    /**
-     * Builds the line of a gateway.
-     *
-     * @param member The gateway.
-     * @return The line.
-     */
     private static GatewayLine line(GatewayMember member) {
         return GatewayStatusClient.ask(member)
                 .map(report -> new GatewayLine(
@@ -232,13 +196,6 @@
                 .orElseGet(() -> new GatewayLine(member.host(), member.dataCentre(), false, 0, 0, 0, 0, false));
     }
 
-    /**
-     * Reads the list of backend servers.
-     *
-     * @param platform The platform.
-     * @param timeoutMillis The time after which it is given up in milliseconds.
-     * @return The list, or nothing.
-     */
     private static Optional<List<ListedBackendServer>> listed(Platform platform, long timeoutMillis) {
         try {
             return Optional.of(
@@ -251,23 +208,11 @@
         }
     }
 
-    /**
-     * Tells whether a backend server is paid for.
-     *
-     * @param server The backend server.
-     * @return Whether it was ordered and is live.
-     */
+    /** Returns whether a backend server incurs cost, that is, was ordered and is live. */
     private static boolean isOrdered(ListedBackendServer server) {
         return !server.pool().isEmpty() && server.state() == HostState.LIVE;
     }
 
-    /**
-     * Adds up the cost of ordered backend servers.
-     *
-     * @param configuration The configuration.
-     * @param servers The list.
-     * @return The cost for an hour.
-     */
     private static double cost(Configuration configuration, List<ListedBackendServer> servers) {
         double cost = 0;
         for (FleetPool pool : configuration.fleet()) {
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/package-info.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/package-info.java
@@ -1,2 +1,2 @@
-/** What operators see of the running system. */
+/** Views of the running system for operators. */
 package org.cranberrygauge.operator.view;
--- a/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/command/QuestionnaireCommandTest.java
+++ b/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/command/QuestionnaireCommandTest.java
@@ -43,9 +43,9 @@
             "180",
             "");
 
-    private final ByteArrayOutputStream told = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
 
-    private final PrintStream output = new PrintStream(told, true, StandardCharsets.UTF_8);
+    private final PrintStream output = new PrintStream(printed, true, StandardCharsets.UTF_8);
 
     @TempDir
     private Path directory;
@@ -58,20 +58,20 @@
     }
 
     @Test
-    void answers_given_step_by_step_pass_the_check_and_wrong_ones_are_asked_again() throws Exception {
+    void entered_answers_pass_the_check_and_invalid_ones_are_asked_for_again() throws Exception {
         Path file = directory.resolve("asked.yaml");
         BufferedReader input = new BufferedReader(new StringReader(ANSWERS));
         assertThat(run(new QuestionnaireCommand(input), "--ask", "--output", file.toString()))
                 .isEqualTo(ExitStatus.DONE);
         assertThat(run(new CheckCommand(), "--questionnaire", file.toString())).isEqualTo(ExitStatus.DONE);
-        assertThat(told.toString(StandardCharsets.UTF_8))
+        assertThat(printed.toString(StandardCharsets.UTF_8))
                 .contains("\"2\" is not allowed; allowed is a number above 0 up to 1")
                 .contains("\"maybe\" is not allowed; allowed is yes or no")
                 .contains("\"25:00\"; allowed is HH:MM");
     }
 
     @Test
-    void an_interview_that_ends_early_writes_nothing() {
+    void input_that_ends_early_writes_no_file() {
         Path file = directory.resolve("early.yaml");
         QuestionnaireCommand command = new QuestionnaireCommand(new BufferedReader(new StringReader("fountains\n")));
         assertThatThrownBy(() -> run(command, "--ask", "--output", file.toString()))
@@ -81,11 +81,11 @@
     }
 
     @Test
-    void a_file_that_is_there_is_not_replaced() throws Exception {
+    void an_existing_file_is_not_replaced() throws Exception {
         Path file = directory.resolve("answers.yaml");
         Files.writeString(file, "mine");
         assertThatThrownBy(() -> run(new QuestionnaireCommand(), "--output", file.toString()))
-                .hasMessageContaining("is there already");
+                .hasMessageContaining("already exists");
         assertThat(file).hasContent("mine");
     }
 
@@ -94,7 +94,7 @@
         Path file = directory.resolve("wrong.yaml");
         Files.writeString(file, QuestionnaireCommand.template().replace("tier: 3", "tier: 9"));
         assertThat(run(new CheckCommand(), "--questionnaire", file.toString())).isEqualTo(ExitStatus.INVALID);
-        assertThat(told.toString(StandardCharsets.UTF_8))
+        assertThat(printed.toString(StandardCharsets.UTF_8))
                 .contains("wrong.yaml:20: classes[1].tier: must be from 0 to 7");
     }
 
--- a/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/view/AttainmentTest.java
+++ b/cranberrygauge-operator/src/test/java/org/cranberrygauge/operator/view/AttainmentTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whole_requests_count_for_classes_without_first_tokens() {
+    void classes_without_first_tokens_are_measured_by_whole_requests() {
         String text = bucket("request", "lookup", "divers", "0.25", 4)
                 + bucket("request", "lookup", "divers", "0.5", 5)
                 + bucket("request", "lookup", "divers", "+Inf", 5);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void without_metrics_no_customer_is_told() {
+    void no_customer_is_listed_without_metrics() {
         assertThat(Attainment.of(configuration, List.of()).byCustomer()).isEmpty();
     }
 
