--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/EmulatorCounts.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/EmulatorCounts.java
@@ -24,43 +24,33 @@
 import org.cranberrygauge.protocol.platform.PlatformMessages;
 
 /**
- * Collects what the stand-ins counted.
+ * Collects the counts of all emulators.
  *
- * <p>Used by one thread, which must not be an event loop.
+ * <p>Used by one thread, which must not be an event loop, since it blocks.
  */
 final class EmulatorCounts {
 
-    /** The path of the counts of engines and plain services. */
     private static final String COUNTS_PATH = "/counts";
 
-    /** The HTTP client. */
     private final HttpClient client;
 
-    /** The address of the platform. */
     private final NetworkAddress platform;
 
     /** The addresses of the configured backend servers by kind. */
     private final Map<BackendKind, List<NetworkAddress>> backends;
 
-    /** The executions by call. */
+    /** The number of executions by call. */
     private final Map<String, Integer> executions = new HashMap<>();
 
-    /** The credentials that backend servers saw. */
+    /** The Authorization headers that backend servers received. */
     private final List<String> credentials = new ArrayList<>();
 
-    /** The usage by label as the engines counted it. */
+    /** The usage by label, as counted by the engines. */
     private final Map<String, UsageFigures> counted = new TreeMap<>();
 
-    /** The usage by label as it was reported to the platform. */
+    /** The usage by label, as reported to the platform. */
     private final Map<String, UsageFigures> reported = new TreeMap<>();
 
-    /**
-     * Creates a collector.
-     *
-     * @param vertx The Vert.x instance.
-     * @param platform The address of the platform.
-     * @param backends The addresses of the configured backend servers by kind.
-     */
     EmulatorCounts(Vertx vertx, NetworkAddress platform, Map<BackendKind, List<NetworkAddress>> backends) {
         this.client = vertx.createHttpClient();
         this.platform = platform;
@@ -68,7 +58,7 @@
     }
 
     /**
-     * Collects all counts anew.
+     * Replaces the counts by current ones.
      *
      * @throws ExecutionException If a count can't be read.
      * @throws InterruptedException If this thread is interrupted.
@@ -103,53 +93,22 @@
         }
     }
 
-    /**
-     * Returns the executions by call.
-     *
-     * @return The executions.
-     */
     Map<String, Integer> executions() {
         return Map.copyOf(executions);
     }
 
-    /**
-     * Returns the credentials that backend servers saw.
-     *
-     * @return The credentials.
-     */
     List<String> credentials() {
         return List.copyOf(credentials);
     }
 
-    /**
-     * Returns the usage as the engines counted it.
-     *
-     * @return The usage by label.
-     */
     Map<String, UsageFigures> counted() {
         return new TreeMap<>(counted);
     }
 
-    /**
-     * Returns the usage as it was reported to the platform.
-     *
-     * @return The usage by label.
-     */
     Map<String, UsageFigures> reported() {
         return new TreeMap<>(reported);
     }
 
-    /**
-     * Reads a value over HTTP.
-     *
-     * @param address The address.
-     * @param path The path.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value.
-     * @throws ExecutionException If it can't be read.
-     * @throws InterruptedException If this thread is interrupted.
-     */
     private <T> T get(NetworkAddress address, String path, Class<T> type)
             throws ExecutionException, InterruptedException {
         return client.request(HttpMethod.GET, address.port(), address.host(), path)
@@ -160,14 +119,6 @@
                 .get();
     }
 
-    /**
-     * Parses a body.
-     *
-     * @param body The body.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value.
-     */
     private static <T> Future<T> parse(Buffer body, Class<T> type) {
         try {
             return Future.succeededFuture(JsonCodec.read(body.toString(), type));
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ProfileGenerator.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ProfileGenerator.java
@@ -14,70 +14,71 @@
 /**
  * Generates the traces of all profiles for a deployment.
  *
- * <p>Used by one thread; the same configuration, profile and seed give the same trace.
+ * <p>The same configuration, profile and seed always produce the same trace. Used by one thread.
  */
 public final class ProfileGenerator {
 
-    /** The length of a trace in milliseconds. */
+    /** The length of a trace. */
     public static final long DURATION_MILLIS = 120_000;
 
-    /** The time at which what a profile is about begins in milliseconds. */
+    /** The time at which the event of a profile, such as a burst or a fault, begins. */
     public static final long EVENT_FROM_MILLIS = 40_000;
 
-    /** The time at which it ends in milliseconds. */
+    /** The time at which the event of a profile ends. */
     public static final long EVENT_UNTIL_MILLIS = 80_000;
 
-    /** The tokens that a slot of a fully loaded engine generates in a second. */
-    private static final double TOKENS_PER_SLOT = 50;
+    /** The number of tokens that a slot of a fully loaded engine generates per second. */
+    private static final double TOKENS_PER_SLOT_AND_SECOND = 50;
 
-    /** The shape of the chat classes from the highest tier to the lowest. */
+    /** Shapes of the chat classes from the highest tier to the lowest; the last one serves any further class. */
     private static final List<ClassShape> SHAPES =
             List.of(new ClassShape(0.4, 60, 300), new ClassShape(0.3, 150, 1_500), new ClassShape(0.3, 300, 3_000));
 
-    /** The factor of capacity that a burst asks for. */
+    /** The load of a bursting class relative to the capacity. */
     private static final double BURST_LOAD = 3;
 
-    /** The factor of capacity that a flooding customer asks for. */
+    /** The additional load of the flooding customer relative to the capacity. */
     private static final double FLOOD_LOAD = 1.5;
 
-    /** The requests to each route in a second. */
+    /** The rate of requests to each route. */
     private static final double CALLS_PER_SECOND = 3;
 
-    /** The shortest answer in tokens. */
-    private static final int SHORTEST_OUTPUT = 8;
+    private static final int MIN_OUTPUT_TOKENS = 8;
 
-    /** The longest answer in tokens. */
-    private static final int LONGEST_OUTPUT = 2_048;
+    private static final int MAX_OUTPUT_TOKENS = 2_048;
 
-    /** The exponent of heavy-tailed lengths. */
+    /** The exponent of the Pareto distribution of heavy-tailed lengths. */
     private static final double TAIL_EXPONENT = 1.2;
 
-    /** The number of groups that share a prefix in ordinary traces, in each class. */
+    /** The number of prefix groups of each class in ordinary traces. */
     private static final int PREFIX_GROUPS = 40;
 
-    /** The number of groups where prefixes are shared by many. */
-    private static final int FEW_PREFIX_GROUPS = 24;
+    /** The number of prefix groups, common to all classes, in traces with shared prefixes. */
+    private static final int SHARED_PREFIX_GROUPS = 24;
 
-    /** The prompt where prefixes are shared by many, in tokens. */
-    private static final int LONG_PROMPT = 4_000;
+    /** The length in tokens of prompts in traces with shared prefixes. */
+    private static final int SHARED_PREFIX_PROMPT_TOKENS = 4_000;
 
-    /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The configuration. */
+    private static final double SLOW_ENGINE_FACTOR = 3;
+
+    private static final double REPORT_LAG_MILLIS = 2 * MILLIS_PER_SECOND;
+
+    private static final int FAILING_ENGINES = 3;
+
+    private static final double FAILING_SHARE = 0.5;
+
+    private static final long KEY_WITHDRAWN_MILLIS = 2 * (long) MILLIS_PER_SECOND;
+
     private final Configuration configuration;
 
-    /** The chat classes, the highest tier first. */
+    /** Classes without a route to a service, highest tier first. */
     private final List<ServiceClass> chatClasses;
 
-    /** The capacity of all engines in tokens a second. */
+    /** The capacity of all engines in tokens per second. */
     private final double capacity;
 
-    /**
-     * Creates a generator.
-     *
-     * @param configuration The configuration.
-     */
     public ProfileGenerator(Configuration configuration) {
         this.configuration = configuration;
         chatClasses = configuration.classes().stream()
@@ -85,16 +86,10 @@
                         .noneMatch(route -> route.className().equals(serviceClass.name())))
                 .sorted(Comparator.comparingInt(ServiceClass::tier))
                 .toList();
-        capacity = engines().stream().mapToInt(BackendServer::slots).sum() * TOKENS_PER_SLOT;
+        capacity = engines().stream().mapToInt(BackendServer::slots).sum() * TOKENS_PER_SLOT_AND_SECOND;
     }
 
-    /**
-     * Generates a trace.
-     *
-     * @param profile The profile.
-     * @param seed The seed.
-     * @return The trace.
-     */
+    /** Generates a trace. */
     public Trace generate(TraceProfile profile, long seed) {
         Random random = new Random(seed * 1_000 + profile.ordinal());
         List<TraceRequest> requests = new ArrayList<>();
@@ -103,9 +98,9 @@
             ServiceClass serviceClass = chatClasses.get(role);
             List<Customer> customers = customersOf(serviceClass.name());
             double load = profile.load() * shape.loadShare();
-            chats(requests, profile, serviceClass, shape, customers, new Phase(load, 0, DURATION_MILLIS), random);
+            addChats(requests, profile, serviceClass, shape, customers, new Phase(load, 0, DURATION_MILLIS), random);
             if (isBursting(profile, role)) {
-                chats(
+                addChats(
                         requests,
                         profile,
                         serviceClass,
@@ -117,7 +112,7 @@
         }
         if (profile == TraceProfile.CUSTOMER_FLOOD) {
             Customer flooding = flooding();
-            chats(
+            addChats(
                     requests,
                     profile,
                     chatClasses.get(0),
@@ -126,54 +121,31 @@
                     new Phase(FLOOD_LOAD, EVENT_FROM_MILLIS, EVENT_UNTIL_MILLIS),
                     random);
         }
-        calls(requests, random);
+        addCalls(requests, random);
         requests.sort(Comparator.comparingLong(TraceRequest::arrivalMillis).thenComparing(TraceRequest::callId));
         return new Trace(profile, seed, DURATION_MILLIS, requests, faults(profile));
     }
 
     /**
-     * Returns the customer that floods where one does.
-     *
-     * @return The last customer of the highest chat tier.
+     * Returns the customer that floods in {@link TraceProfile#CUSTOMER_FLOOD}: the last one of the highest chat tier.
      */
     public Customer flooding() {
         List<Customer> customers = customersOf(chatClasses.get(0).name());
         return customers.get(customers.size() - 1);
     }
 
-    /**
-     * Returns the chat classes.
-     *
-     * @return The classes, the highest tier first.
-     */
+    /** Returns the classes without a route to a service, highest tier first. */
     public List<ServiceClass> chatClasses() {
         return chatClasses;
     }
 
-    /**
-     * Tells whether a class bursts.
-     *
-     * @param profile The profile.
-     * @param role The position of the class from the highest tier.
-     * @return Whether it does.
-     */
     private boolean isBursting(TraceProfile profile, int role) {
         return profile == TraceProfile.HIGH_TIER_BURST && role == 0
                 || profile == TraceProfile.LOW_TIER_BURST && role == chatClasses.size() - 1;
     }
 
-    /**
-     * Adds the chats of a class.
-     *
-     * @param requests Takes the requests.
-     * @param profile The profile.
-     * @param serviceClass The class.
-     * @param shape The shape of the class.
-     * @param customers The customers.
-     * @param phase How much arrives when.
-     * @param random The source of randomness.
-     */
-    private void chats(
+    /** Adds the chats of a class, which arrive as a Poisson process. */
+    private void addChats(
             List<TraceRequest> requests,
             TraceProfile profile,
             ServiceClass serviceClass,
@@ -189,25 +161,13 @@
                     profile,
                     serviceClass.name(),
                     shape,
-                    byWeight(customers, random),
+                    drawByWeight(customers, random),
                     requests.size(),
                     random));
             atMillis += exponential(random) / perMilli;
         }
     }
 
-    /**
-     * Generates a chat.
-     *
-     * @param arrivalMillis The time of its arrival.
-     * @param profile The profile.
-     * @param className The name of the class.
-     * @param shape The shape of the class.
-     * @param customer The customer.
-     * @param number The number of the request.
-     * @param random The source of randomness.
-     * @return The request.
-     */
     private TraceRequest chat(
             long arrivalMillis,
             TraceProfile profile,
@@ -217,13 +177,13 @@
             int number,
             Random random) {
         boolean shared = profile == TraceProfile.SHARED_PREFIXES;
-        int groups = shared ? FEW_PREFIX_GROUPS : PREFIX_GROUPS;
+        int groups = shared ? SHARED_PREFIX_GROUPS : PREFIX_GROUPS;
         String group = (shared ? "" : className + "-") + "group-" + random.nextInt(groups);
-        int prompt = shared ? LONG_PROMPT : shape.meanPrompt() / 2 + random.nextInt(shape.meanPrompt());
+        int prompt = shared ? SHARED_PREFIX_PROMPT_TOKENS : shape.meanPrompt() / 2 + random.nextInt(shape.meanPrompt());
         double scale = profile == TraceProfile.HEAVY_TAIL
                 ? (TAIL_EXPONENT - 1) / TAIL_EXPONENT * Math.pow(1 - random.nextDouble(), -1 / TAIL_EXPONENT)
                 : exponential(random);
-        int output = (int) Math.max(SHORTEST_OUTPUT, Math.min(LONGEST_OUTPUT, scale * shape.meanOutput()));
+        int output = (int) Math.max(MIN_OUTPUT_TOKENS, Math.min(MAX_OUTPUT_TOKENS, scale * shape.meanOutput()));
         String model =
                 configuration.models().get(random.nextInt(configuration.models().size()));
         return new TraceRequest(
@@ -240,13 +200,8 @@
                 "chat-" + number);
     }
 
-    /**
-     * Adds the calls to plain services.
-     *
-     * @param requests Takes the requests.
-     * @param random The source of randomness.
-     */
-    private void calls(List<TraceRequest> requests, Random random) {
+    /** Adds the calls to services; routes that are open to callers without a key get none. */
+    private void addCalls(List<TraceRequest> requests, Random random) {
         for (ServiceRoute route : configuration.routes()) {
             if (route.open()) {
                 continue;
@@ -258,7 +213,7 @@
                 requests.add(new TraceRequest(
                         (long) atMillis,
                         TraceRequest.Kind.CALL,
-                        byWeight(customers, random).name(),
+                        drawByWeight(customers, random).name(),
                         route.className(),
                         "",
                         0,
@@ -272,12 +227,6 @@
         }
     }
 
-    /**
-     * Lists what goes wrong.
-     *
-     * @param profile The profile.
-     * @return The faults.
-     */
     private List<TraceFault> faults(TraceProfile profile) {
         List<BackendServer> engines = engines();
         return switch (profile) {
@@ -287,9 +236,9 @@
                         DURATION_MILLIS,
                         TraceFault.Kind.ENGINE_SLOW,
                         engines.get(0).name(),
-                        3));
+                        SLOW_ENGINE_FACTOR));
             case LATE_LOADS ->
-                List.of(new TraceFault(0, Long.MAX_VALUE, TraceFault.Kind.REPORTS_LATE, "", 2 * MILLIS_PER_SECOND));
+                List.of(new TraceFault(0, Long.MAX_VALUE, TraceFault.Kind.REPORTS_LATE, "", REPORT_LAG_MILLIS));
             case DATA_CENTRE_EVICTION ->
                 List.of(new TraceFault(
                         EVENT_FROM_MILLIS,
@@ -299,13 +248,13 @@
                         1));
             case KEY_CHURN -> keyChurn();
             case RETRY_STORM ->
-                engines.subList(0, 3).stream()
+                engines.subList(0, FAILING_ENGINES).stream()
                         .map(engine -> new TraceFault(
                                 EVENT_FROM_MILLIS,
                                 EVENT_UNTIL_MILLIS,
                                 TraceFault.Kind.ENGINE_FAILING,
                                 engine.name(),
-                                0.5))
+                                FAILING_SHARE))
                         .toList();
             case LOG_OUTAGE -> List.of(new TraceFault(0, Long.MAX_VALUE, TraceFault.Kind.LOG_OUTAGE, "", 1));
             case GATEWAY_KILLED ->
@@ -314,11 +263,7 @@
         };
     }
 
-    /**
-     * Withdraws the keys of one customer after the other for two seconds.
-     *
-     * @return The faults.
-     */
+    /** Withdraws the keys of one customer after another for two seconds each. */
     private List<TraceFault> keyChurn() {
         List<TraceFault> faults = new ArrayList<>();
         List<Customer> customers = configuration.customers();
@@ -327,7 +272,7 @@
             long from = step * (index + 1);
             faults.add(new TraceFault(
                     from,
-                    from + 2 * (long) MILLIS_PER_SECOND,
+                    from + KEY_WITHDRAWN_MILLIS,
                     TraceFault.Kind.KEY_WITHDRAWN,
                     customers.get(index).name(),
                     1));
@@ -335,37 +280,19 @@
         return faults;
     }
 
-    /**
-     * Returns the engines.
-     *
-     * @return The engines in the order of the configuration.
-     */
     private List<BackendServer> engines() {
         return configuration.backendServers().stream()
                 .filter(server -> server.kind() == BackendKind.MODEL)
                 .toList();
     }
 
-    /**
-     * Returns the customers of a class.
-     *
-     * @param className The name of the class.
-     * @return The customers in the order of the configuration.
-     */
     private List<Customer> customersOf(String className) {
         return configuration.customers().stream()
                 .filter(customer -> customer.classes().contains(className))
                 .toList();
     }
 
-    /**
-     * Draws a customer by weight.
-     *
-     * @param customers The customers.
-     * @param random The source of randomness.
-     * @return The customer.
-     */
-    private static Customer byWeight(List<Customer> customers, Random random) {
+    private static Customer drawByWeight(List<Customer> customers, Random random) {
         int left = random.nextInt(customers.stream().mapToInt(Customer::weight).sum());
         for (Customer customer : customers) {
             left -= customer.weight();
@@ -373,15 +300,10 @@
                 return customer;
             }
         }
-        throw new IllegalStateException("the weights add up to the total");
+        throw new IllegalStateException("random number exceeds the sum of weights");
     }
 
-    /**
-     * Draws from the exponential distribution.
-     *
-     * @param random The source of randomness.
-     * @return A number with mean 1.
-     */
+    /** Draws from the exponential distribution with mean 1. */
     private static double exponential(Random random) {
         return -Math.log(1 - random.nextDouble());
     }
@@ -390,17 +312,17 @@
      * The shape of the requests of a class.
      *
      * @param loadShare The share of the load of all chat classes.
-     * @param meanOutput The mean output in tokens.
-     * @param meanPrompt The mean prompt in tokens.
+     * @param meanOutput The mean output length in tokens.
+     * @param meanPrompt The mean prompt length in tokens.
      */
     private record ClassShape(double loadShare, double meanOutput, int meanPrompt) {}
 
     /**
-     * A part of a trace with one load.
+     * A period with constant load.
      *
      * @param load The load relative to the capacity.
-     * @param fromMillis The first arrival at the earliest.
-     * @param untilMillis The end of arrivals.
+     * @param fromMillis The start of the period.
+     * @param untilMillis The end of the period.
      */
     private record Phase(double load, long fromMillis, long untilMillis) {}
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ReplayCommand.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ReplayCommand.java
@@ -24,29 +24,25 @@
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
 /**
- * Replays a trace over real sockets and prints its report.
+ * Replays a trace through the gateways and prints a report.
  *
  * <p>Filled in by the settings parser before any thread starts, and only read afterwards.
  */
 @Parameters(commandDescription = "Replays a trace through the gateways and prints a report")
 public final class ReplayCommand {
 
-    /** The time between two looks at the reports in milliseconds. */
-    private static final long SETTLE_POLL_MILLIS = 500;
+    /** Interval at which usage reports are checked until they match the engines' counts. */
+    private static final long SETTLE_POLL_INTERVAL_MILLIS = 500;
 
-    /** The trace. */
-    @Parameter(names = "--trace", required = true, description = "File with one request a line, as JSON")
+    @Parameter(names = "--trace", required = true, description = "File with one request per line, as JSON")
     private Path trace;
 
-    /** The configuration. */
     @Parameter(names = "--configuration", required = true, description = "File with the configuration in force")
     private Path configurationFile;
 
-    /** The keys. */
     @Parameter(names = "--keys", required = true, description = "File with the key of each customer, as JSON")
     private Path keysFile;
 
-    /** The gateways. */
     @Parameter(
             names = "--gateways",
             required = true,
@@ -54,26 +50,25 @@
             description = "HOST:PORT of each gateway, separated by commas")
     private List<NetworkAddress> gateways = new ArrayList<>();
 
-    /** The platform. */
     @Parameter(
             names = "--platform-address",
             required = true,
             converter = AddressConverter.class,
-            description = "HOST:PORT of the platform's stand-in")
+            description = "HOST:PORT of the emulated platform")
     private NetworkAddress platformAddress;
 
-    /** The highest number of times a request is sent. */
-    @Parameter(names = "--tries", description = "Highest number of times that a request refused as not run is sent")
+    @Parameter(
+            names = "--tries",
+            description = "Maximum number of times that a request is sent while it is refused as not run")
     private int tries = 5;
 
-    /** The time to wait for usage reports. */
     @Parameter(names = "--settle-millis", description = "Milliseconds to wait for the last usage report")
     private long settleMillis = 15_000;
 
     /**
      * Runs the replay.
      *
-     * @return The exit status: 0 if all holds, 1 if something does not, 2 if a file can't be read.
+     * @return The exit status: 0 if all expectations hold, 1 if one does not, 2 if a file can't be read.
      */
     public int run() {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
@@ -104,25 +99,16 @@
         }
     }
 
-    /**
-     * Sends all requests and collects the counts.
-     *
-     * @param vertx The Vert.x instance.
-     * @param configuration The configuration.
-     * @param keys The keys by customer.
-     * @param requests The requests.
-     * @return The report.
-     * @throws ExecutionException If a count can't be read.
-     * @throws InterruptedException If this thread is interrupted.
-     */
+    /** Sends all requests, and collects the counts until reported usage matches or the settling time has passed. */
     private ReplayReport replay(
             Vertx vertx, Configuration configuration, Map<String, String> keys, List<TraceRequest> requests)
             throws ExecutionException, InterruptedException {
-        TraceClient caller = new TraceClient(vertx, gateways, keys, tries);
-        List<Future<Outcome>> pending =
-                requests.stream().map(request -> later(vertx, caller, request)).toList();
-        List<Outcome> outcomes = Future.all(pending)
-                .map(all -> all.<Outcome>list())
+        TraceClient client = new TraceClient(vertx, gateways, keys, tries);
+        List<Future<ReplayOutcome>> pending = requests.stream()
+                .map(request -> sendAtArrival(vertx, client, request))
+                .toList();
+        List<ReplayOutcome> outcomes = Future.all(pending)
+                .map(all -> all.<ReplayOutcome>list())
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get();
@@ -130,25 +116,14 @@
         long untilMillis = System.currentTimeMillis() + settleMillis;
         ReplayReport report = report(configuration, keys, outcomes, counts);
         while (!report.counted().equals(report.reported()) && System.currentTimeMillis() < untilMillis) {
-            Thread.sleep(SETTLE_POLL_MILLIS);
+            Thread.sleep(SETTLE_POLL_INTERVAL_MILLIS);
             report = report(configuration, keys, outcomes, counts);
         }
         return report;
     }
 
-    /**
-     * Builds the report from what the stand-ins count now.
-     *
-     * @param configuration The configuration.
-     * @param keys The keys by customer.
-     * @param outcomes The outcomes.
-     * @param counts The counts of the stand-ins.
-     * @return The report.
-     * @throws ExecutionException If a count can't be read.
-     * @throws InterruptedException If this thread is interrupted.
-     */
     private static ReplayReport report(
-            Configuration configuration, Map<String, String> keys, List<Outcome> outcomes, EmulatorCounts counts)
+            Configuration configuration, Map<String, String> keys, List<ReplayOutcome> outcomes, EmulatorCounts counts)
             throws ExecutionException, InterruptedException {
         counts.collect();
         return new ReplayReport(
@@ -161,28 +136,14 @@
                 counts.reported());
     }
 
-    /**
-     * Sends a request at its time.
-     *
-     * @param vertx The Vert.x instance.
-     * @param caller The caller.
-     * @param request The request.
-     * @return The outcome.
-     */
-    private static Future<Outcome> later(Vertx vertx, TraceClient caller, TraceRequest request) {
-        Promise<Outcome> promise = Promise.promise();
+    private static Future<ReplayOutcome> sendAtArrival(Vertx vertx, TraceClient client, TraceRequest request) {
+        Promise<ReplayOutcome> promise = Promise.promise();
         vertx.setTimer(
                 Math.max(1, request.arrivalMillis()),
-                timer -> caller.call(request).onComplete(promise));
+                timer -> client.call(request).onComplete(promise));
         return promise.future();
     }
 
-    /**
-     * Returns the addresses of the configured backend servers.
-     *
-     * @param configuration The configuration.
-     * @return The addresses by kind.
-     */
     private static Map<BackendKind, List<NetworkAddress>> backends(Configuration configuration) {
         Map<BackendKind, List<NetworkAddress>> addresses = new LinkedHashMap<>();
         Arrays.stream(BackendKind.values()).forEach(kind -> addresses.put(kind, new ArrayList<>()));
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ReplayReport.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ReplayReport.java
@@ -12,31 +12,36 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * The report of a replay, from what callers saw and what the stand-ins counted.
+ * The report of a replay, from the outcomes that callers saw and the counts of the emulators.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param configuration The configuration.
- * @param outcomes The outcomes.
- * @param executions The executions of calls as the plain services counted them.
- * @param credentials The credentials that backend servers saw.
+ * @param executions The number of executions by call, as counted by the services.
+ * @param credentials The Authorization headers that backend servers received.
  * @param keys The keys of the callers.
- * @param counted The usage by label as the engines counted it.
- * @param reported The usage by label as it was reported to the platform.
+ * @param counted The usage by label, as counted by the engines.
+ * @param reported The usage by label, as reported to the platform.
  */
 record ReplayReport(
         Configuration configuration,
-        List<Outcome> outcomes,
+        List<ReplayOutcome> outcomes,
         Map<String, Integer> executions,
         List<String> credentials,
         List<String> keys,
         Map<String, UsageFigures> counted,
         Map<String, UsageFigures> reported) {
 
+    private static final int OK = 200;
+
+    /** The share of requests of a class that must meet its targets. */
+    private static final double TARGET_ATTAINMENT = 0.95;
+
+    private static final double PERCENTILE = 0.95;
+
     /**
-     * Finds what does not hold.
-     *
-     * @return The failures; empty if all holds.
+     * Lists the expectations that do not hold: calls run at most once, refusals say truly that nothing was run, answers
+     * are complete, callers' keys do not reach backend servers, usage is reported exactly, and classes meet their
+     * targets.
      */
     List<String> failures() {
         List<String> failures = new ArrayList<>();
@@ -45,12 +50,12 @@
                 failures.add("call " + call + " ran " + number + " times");
             }
         });
-        for (Outcome outcome : outcomes) {
+        for (ReplayOutcome outcome : outcomes) {
             boolean ran = executions.getOrDefault(outcome.request().callId(), 0) > 0;
             if (outcome.notRun() && ran) {
-                failures.add("call " + outcome.request().callId() + " was refused as not run and ran");
+                failures.add("call " + outcome.request().callId() + " was refused as not run, but ran");
             }
-            if (outcome.status() == 200 && !outcome.whole()) {
+            if (outcome.status() == OK && !outcome.whole()) {
                 failures.add("request " + outcome.request().callId() + " got a broken answer: " + outcome.code());
             }
         }
@@ -63,18 +68,14 @@
             failures.add("reported usage differs from the engines' count");
         }
         for (ServiceClass serviceClass : configuration.classes()) {
-            if (attainment(outcomesOf(serviceClass.name())) < 0.95) {
+            if (attainment(outcomesOf(serviceClass.name())) < TARGET_ATTAINMENT) {
                 failures.add("class " + serviceClass.name() + " misses its target");
             }
         }
         return failures;
     }
 
-    /**
-     * Prints the report.
-     *
-     * @return The text.
-     */
+    /** Formats the report as a table and totals. */
     String text() {
         StringBuilder text = new StringBuilder();
         text.append(String.format(
@@ -88,34 +89,33 @@
                 "ttft_p95_ms",
                 "between_p95_ms"));
         for (ServiceClass serviceClass : configuration.classes()) {
-            List<Outcome> own = outcomesOf(serviceClass.name());
+            List<ReplayOutcome> ofClass = outcomesOf(serviceClass.name());
             text.append(String.format(
                     Locale.ROOT,
                     "%-16s %4d %8d %9d %10.1f%% %12.1f %14.1f%n",
                     serviceClass.name(),
                     serviceClass.tier(),
-                    own.size(),
-                    own.stream().filter(Outcome::succeeded).count(),
-                    100 * attainment(own),
-                    percentile(own.stream().map(Outcome::firstTokenMillis).toList()),
-                    percentile(own.stream().map(Outcome::betweenTokensMillis).toList())));
+                    ofClass.size(),
+                    ofClass.stream().filter(ReplayOutcome::succeeded).count(),
+                    100 * attainment(ofClass),
+                    percentile(ofClass.stream()
+                            .map(ReplayOutcome::firstTokenMillis)
+                            .toList()),
+                    percentile(ofClass.stream()
+                            .map(ReplayOutcome::betweenTokensMillis)
+                            .toList())));
         }
-        appendWorst(text);
+        appendWorstServedCustomer(text);
         long duplicates =
                 executions.values().stream().filter(number -> number > 1).count();
         text.append("calls executed more than once: ").append(duplicates).append('\n');
-        text.append("usage, engines' own count: ").append(sum(counted)).append('\n');
-        text.append("usage, reported to the platform: ").append(sum(reported)).append('\n');
+        text.append("usage counted by engines: ").append(sum(counted)).append('\n');
+        text.append("usage reported to the platform: ").append(sum(reported)).append('\n');
         return text.toString();
     }
 
-    /**
-     * Appends the worst-served customer.
-     *
-     * @param text The text.
-     */
-    private void appendWorst(StringBuilder text) {
-        Map<String, List<Outcome>> byCustomer = outcomes.stream()
+    private void appendWorstServedCustomer(StringBuilder text) {
+        Map<String, List<ReplayOutcome>> byCustomer = outcomes.stream()
                 .collect(Collectors.groupingBy(
                         outcome -> outcome.request().customer(), TreeMap::new, Collectors.toList()));
         byCustomer.entrySet().stream()
@@ -128,36 +128,19 @@
                         worst.getValue().size())));
     }
 
-    /**
-     * Returns the outcomes of a class.
-     *
-     * @param className The name of the class.
-     * @return The outcomes.
-     */
-    private List<Outcome> outcomesOf(String className) {
+    private List<ReplayOutcome> outcomesOf(String className) {
         return outcomes.stream()
                 .filter(outcome -> outcome.request().className().equals(className))
                 .toList();
     }
 
-    /**
-     * Returns the share of requests that met the targets of their class.
-     *
-     * @param some The outcomes.
-     * @return The share; 1 if there are none.
-     */
-    private double attainment(List<Outcome> some) {
-        long met = some.stream().filter(this::meetsTarget).count();
-        return some.isEmpty() ? 1 : (double) met / some.size();
+    /** Returns the share of requests that met the targets of their class; 1 if there are none. */
+    private double attainment(List<ReplayOutcome> selected) {
+        long met = selected.stream().filter(this::meetsTarget).count();
+        return selected.isEmpty() ? 1 : (double) met / selected.size();
     }
 
-    /**
-     * Tells whether a request met the targets of its class.
-     *
-     * @param outcome The outcome.
-     * @return Whether it did.
-     */
-    private boolean meetsTarget(Outcome outcome) {
+    private boolean meetsTarget(ReplayOutcome outcome) {
         return configuration
                 .serviceClass(outcome.request().className())
                 .filter(serviceClass -> outcome.succeeded()
@@ -166,24 +149,13 @@
                 .isPresent();
     }
 
-    /**
-     * Returns the 95th percentile of the values that are not negative.
-     *
-     * @param values The values.
-     * @return The percentile; 0 if there are none.
-     */
+    /** Returns the 95th percentile of the values that are not negative; 0 if there are none. */
     private static double percentile(List<Double> values) {
         List<Double> sorted =
                 values.stream().filter(value -> value >= 0).sorted().toList();
-        return sorted.isEmpty() ? 0 : sorted.get((int) Math.min(sorted.size() - 1, sorted.size() * 0.95));
+        return sorted.isEmpty() ? 0 : sorted.get((int) Math.min(sorted.size() - 1, sorted.size() * PERCENTILE));
     }
 
-    /**
-     * Adds usage up.
-     *
-     * @param usage The usage by label.
-     * @return The sum.
-     */
     private static UsageFigures sum(Map<String, UsageFigures> usage) {
         return usage.values().stream().reduce(UsageFigures.none(), UsageFigures::plus);
     }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceCommand.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceCommand.java
@@ -14,48 +14,37 @@
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
 /**
- * Writes a trace that a seed determines.
+ * Writes a trace that is determined by its seed.
  *
  * <p>Filled in by the settings parser, and used by one thread.
  */
 @Parameters(commandDescription = "Writes a trace for a configuration; the same seed gives the same trace")
 public final class TraceCommand {
 
-    /** The configuration. */
     @Parameter(names = "--configuration", required = true, description = "File with the configuration, as JSON")
     private Path configurationFile;
 
-    /** The seed. */
     @Parameter(names = "--seed", description = "Seed of the trace")
     private long seed = 1;
 
-    /** The length. */
     @Parameter(names = "--seconds", description = "Length of the trace in seconds")
     private int seconds = 10;
 
-    /** The rate. */
-    @Parameter(names = "--requests-per-second", description = "Mean number of requests in a second")
+    @Parameter(names = "--requests-per-second", description = "Mean number of requests per second")
     private double requestsPerSecond = 20;
 
-    /** The profile. */
     @Parameter(
             names = "--profile",
             description = "Profile of docs/TRACES.md, whose length and rate it sets; without one, plain mixed traffic")
     private String profile = "";
 
-    /** The file for the faults. */
-    @Parameter(names = "--faults-output", description = "File for what goes wrong, one fault a line as JSON")
+    @Parameter(names = "--faults-output", description = "File for the faults, one per line as JSON")
     private Path faultsOutput;
 
-    /** The file for the trace. */
-    @Parameter(names = "--output", required = true, description = "File for the trace, one request a line as JSON")
+    @Parameter(names = "--output", required = true, description = "File for the trace, one request per line as JSON")
     private Path output;
 
-    /**
-     * Writes the trace.
-     *
-     * @return The exit status.
-     */
+    /** Writes the trace and returns the exit status. */
     public int run() {
         try {
             Configuration configuration = JsonCodec.read(Files.readString(configurationFile), Configuration.class);
@@ -81,13 +70,7 @@
         }
     }
 
-    /**
-     * Writes one object a line.
-     *
-     * @param file The file.
-     * @param lines The objects.
-     * @throws IOException If the file can't be written.
-     */
+    /** Writes each object as one line of JSON. */
     private static void write(Path file, List<?> lines) throws IOException {
         Files.write(file, lines.stream().map(JsonCodec::write).toList());
     }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceGenerator.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceGenerator.java
@@ -9,53 +9,39 @@
 import org.cranberrygauge.model.service.ServiceRoute;
 
 /**
- * Generates the requests of a trace.
+ * Generates the requests of a trace without a profile.
  *
- * <p>Used by one thread; the same randomness gives the same trace.
+ * <p>The same configuration and random numbers produce the same trace. Used by one thread.
  */
 final class TraceGenerator {
 
-    /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The shortest answer in tokens. */
-    private static final int SHORTEST_OUTPUT = 8;
+    private static final int MIN_OUTPUT_TOKENS = 8;
 
-    /** The mean of what comes on top of the shortest answer in tokens. */
-    private static final double MEAN_MORE_OUTPUT = 24;
+    /** The mean number of tokens on top of the shortest answer. */
+    private static final double MEAN_ADDITIONAL_OUTPUT_TOKENS = 24;
 
-    /** The longest answer in tokens. */
-    private static final int LONGEST_OUTPUT = 256;
+    private static final int MAX_OUTPUT_TOKENS = 256;
 
-    /** The longest prompt in tokens. */
-    private static final int LONGEST_PROMPT = 400;
+    private static final int MAX_PROMPT_TOKENS = 400;
 
-    /** The number of groups that share a prefix. */
     private static final int PREFIX_GROUPS = 8;
 
-    /** The configuration. */
     private final Configuration configuration;
 
-    /** The source of randomness. */
     private final RandomGenerator random;
 
-    /**
-     * Creates a generator.
-     *
-     * @param configuration The configuration.
-     * @param random The source of randomness.
-     */
     TraceGenerator(Configuration configuration, RandomGenerator random) {
         this.configuration = configuration;
         this.random = random;
     }
 
     /**
-     * Generates a trace.
+     * Generates requests that arrive as a Poisson process, in the order of their arrival.
      *
-     * @param seconds The length in seconds.
-     * @param requestsPerSecond The mean number of requests in a second.
-     * @return The requests in the order of their arrival.
+     * @param seconds The length of the trace in seconds.
+     * @param requestsPerSecond The mean number of requests per second.
      */
     List<TraceRequest> generate(int seconds, double requestsPerSecond) {
         List<TraceRequest> requests = new ArrayList<>();
@@ -69,15 +55,8 @@
         }
     }
 
-    /**
-     * Generates a request.
-     *
-     * @param arrivalMillis The time of its arrival.
-     * @param number The number of the request.
-     * @return The request.
-     */
     private TraceRequest request(long arrivalMillis, int number) {
-        Customer customer = customer();
+        Customer customer = drawCustomer();
         List<String> classes = customer.classes().stream().sorted().toList();
         String className = classes.get(random.nextInt(classes.size()));
         String callId = "call-" + number;
@@ -100,27 +79,22 @@
         }
         String model =
                 configuration.models().get(random.nextInt(configuration.models().size()));
-        double more = -Math.log(1 - random.nextDouble()) * MEAN_MORE_OUTPUT;
+        double additional = -Math.log(1 - random.nextDouble()) * MEAN_ADDITIONAL_OUTPUT_TOKENS;
         return new TraceRequest(
                 arrivalMillis,
                 TraceRequest.Kind.CHAT,
                 customer.name(),
                 className,
                 model,
-                2 + random.nextInt(LONGEST_PROMPT),
-                (int) Math.min(LONGEST_OUTPUT, SHORTEST_OUTPUT + more),
+                2 + random.nextInt(MAX_PROMPT_TOKENS),
+                (int) Math.min(MAX_OUTPUT_TOKENS, MIN_OUTPUT_TOKENS + additional),
                 "group-" + random.nextInt(PREFIX_GROUPS),
                 "",
                 "",
                 callId);
     }
 
-    /**
-     * Draws a customer by weight.
-     *
-     * @return The customer.
-     */
-    private Customer customer() {
+    private Customer drawCustomer() {
         int total =
                 configuration.customers().stream().mapToInt(Customer::weight).sum();
         int left = random.nextInt(total);
@@ -130,15 +104,10 @@
                 return customer;
             }
         }
-        throw new IllegalStateException("the weights add up to the total");
+        throw new IllegalStateException("random number exceeds the sum of weights");
     }
 
-    /**
-     * Draws a route of a class.
-     *
-     * @param className The name of the class.
-     * @return The route, or nothing if the class is one of completions.
-     */
+    /** Draws one of the routes of a class, without open ones; empty if the class serves completions. */
     private Optional<ServiceRoute> route(String className) {
         List<ServiceRoute> routes = configuration.routes().stream()
                 .filter(route -> route.className().equals(className) && !route.open())
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/package-info.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/package-info.java
@@ -1,2 +1,2 @@
-/** The replay of traces over real sockets, and its report. */
+/** Generation and replay of traces. */
 package org.cranberrygauge.emulator.replay;
