--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorEvents.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorEvents.java
@@ -2,25 +2,24 @@
 
 import org.cranberrygauge.runtime.event.Event;
 
-/** The events of the stand-ins. */
+/** Events that emulators write to the event log. */
 public final class EmulatorEvents {
 
-    /** Prevents instances. */
     private EmulatorEvents() {}
 
     /**
-     * A stand-in listens.
+     * An emulator has started and listens.
      *
-     * @param kind The kind of stand-in.
-     * @param port The port.
+     * @param kind The kind of emulator, which is the name of its command.
+     * @param port The port that it listens on.
      */
     public record Listening(String kind, int port) implements Event {}
 
     /**
-     * A stand-in could not start.
+     * An emulator could not start.
      *
-     * @param kind The kind of stand-in.
-     * @param reason The reason.
+     * @param kind The kind of emulator, which is the name of its command.
+     * @param reason The message of the error.
      */
     public record StartFailed(String kind, String reason) implements Event {}
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorMain.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorMain.java
@@ -16,16 +16,14 @@
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
 /**
- * The entry point of the stand-ins and of the replay.
+ * Entry point of the emulators and of the replay.
  *
- * <p>Stateless; each command runs until it is ended, but for the replay, which ends with its report.
+ * <p>Emulators run until the process is terminated; the replay and the generation of traces end by themselves.
  */
 public final class EmulatorMain {
 
-    /** The name of the program. */
     private static final String NAME = "cranberrygauge-emulator";
 
-    /** Prevents instances. */
     private EmulatorMain() {}
 
     /**
@@ -43,14 +41,13 @@
     /**
      * Runs a command.
      *
-     * @param arguments The command line.
-     * @return The exit status, or -1 while a stand-in goes on running.
+     * @return The exit status, or -1 if an emulator keeps running.
      */
     private static int run(String... arguments) {
-        Map<String, EmulatorSettings> standIns = new LinkedHashMap<>();
-        standIns.put("platform", new EmulatorSettings.EmulatedPlatformSettings());
-        standIns.put("engine", new EmulatorSettings.EngineSettings());
-        standIns.put("service", new EmulatorSettings.ServiceSettings());
+        Map<String, EmulatorSettings> emulators = new LinkedHashMap<>();
+        emulators.put("platform", new EmulatorSettings.EmulatedPlatformSettings());
+        emulators.put("engine", new EmulatorSettings.EngineSettings());
+        emulators.put("service", new EmulatorSettings.ServiceSettings());
         ReplayCommand replay = new ReplayCommand();
         TraceCommand trace = new TraceCommand();
         GeneralSettings general = new GeneralSettings();
@@ -59,7 +56,7 @@
                 .programName(NAME)
                 .addObject(general)
                 .defaultProvider(parser.environmentProvider());
-        standIns.forEach(builder::addCommand);
+        emulators.forEach(builder::addCommand);
         JCommander commander =
                 builder.addCommand("replay", replay).addCommand("trace", trace).build();
         try {
@@ -77,19 +74,13 @@
             commander.usage();
             return general.help ? 0 : SettingsParser.EXIT_STATUS;
         }
-        if (!standIns.containsKey(command)) {
+        if (!emulators.containsKey(command)) {
             return command.equals("replay") ? replay.run() : trace.run();
         }
-        start(command, standIns.get(command));
+        start(command, emulators.get(command));
         return -1;
     }
 
-    /**
-     * Starts a stand-in.
-     *
-     * @param kind The kind of stand-in.
-     * @param settings The settings.
-     */
     private static void start(String kind, EmulatorSettings settings) {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         Future<HttpServer> listening = settings.start(vertx);
@@ -104,11 +95,9 @@
     /** The settings that need no command. */
     private static final class GeneralSettings {
 
-        /** Whether to print the usage and exit. */
         @Parameter(names = "--help", help = true, description = "Prints this help and exits")
         private boolean help;
 
-        /** Whether to print the version and exit. */
         @Parameter(names = "--version", help = true, description = "Prints the version and exits")
         private boolean version;
     }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorSettings.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/EmulatorSettings.java
@@ -26,63 +26,50 @@
 import org.cranberrygauge.runtime.setting.PositiveNumber;
 
 /**
- * The settings of a stand-in.
+ * Settings of an emulator.
  *
  * <p>Filled in by the settings parser before any thread starts, and only read afterwards.
  */
 abstract class EmulatorSettings {
 
-    /** The address to listen on. */
     @Parameter(
             names = "--listen-address",
             converter = AddressConverter.class,
             description = "HOST:PORT to listen on; port 0 takes any free one")
     private NetworkAddress listenAddress = new NetworkAddress("127.0.0.1", 0);
 
-    /**
-     * Returns the address to listen on.
-     *
-     * @return The address.
-     */
     protected NetworkAddress listenAddress() {
         return listenAddress;
     }
 
-    /**
-     * Starts the stand-in.
-     *
-     * @param vertx The Vert.x instance.
-     * @return The server.
-     */
+    /** Starts the emulator and returns its server once it listens. */
     abstract Future<HttpServer> start(Vertx vertx);
 
-    /** The settings of the platform. */
-    @Parameters(commandDescription = "Runs the stand-in of the platform")
+    /** Settings of the command that emulates the platform. */
+    @Parameters(commandDescription = "Emulates the platform")
     static final class EmulatedPlatformSettings extends EmulatorSettings {
 
-        /** The time for which log entries are kept. */
         @Parameter(
                 names = "--log-retention-millis",
                 validateWith = PositiveNumber.class,
                 description = "Milliseconds for which log entries are kept")
         private long logRetentionMillis = 86_400_000;
 
-        /** Whether old fencing numbers are refused. */
-        @Parameter(names = "--checks-fencing", arity = 1, description = "Whether old fencing numbers are refused")
+        @Parameter(
+                names = "--checks-fencing",
+                arity = 1,
+                description = "Whether orders with an old fencing number are rejected")
         private boolean checksFencing = true;
 
-        /** The time a backend server takes to start. */
         @Parameter(names = "--start-millis", description = "Milliseconds that an ordered backend server takes to start")
         private long startMillis = 500;
 
-        /** The lag of the list. */
         @Parameter(
                 names = "--list-lag-millis",
                 validateWith = PositiveNumber.class,
                 description = "Milliseconds by which the list of backend servers lags")
         private long listLagMillis = 500;
 
-        /** The time that the weights of one model take. */
         @Parameter(
                 names = "--weight-millis",
                 description = "Milliseconds that the rate-limited weight store takes for one model")
@@ -96,54 +83,48 @@
         }
     }
 
-    /** The settings of an engine. */
-    @Parameters(commandDescription = "Runs the stand-in of an engine")
+    /** Settings of the command that emulates a model engine. */
+    @Parameters(commandDescription = "Emulates a model engine")
     static final class EngineSettings extends EmulatorSettings {
 
-        /** The name of the backend server. */
         @Parameter(names = "--name", description = "Name of the backend server")
         private String name = "engine";
 
-        /** The models that run here. */
-        @Parameter(names = "--models", required = true, description = "Models that run here, separated by commas")
+        @Parameter(names = "--models", required = true, description = "Models that it serves, separated by commas")
         private List<String> models = new ArrayList<>();
 
-        /** The number of requests that run at once. */
         @Parameter(
                 names = "--slots",
                 validateWith = PositiveNumber.class,
-                description = "Number of requests that run at once")
+                description = "Number of requests that run concurrently")
         private int slots = 8;
 
-        /** The time between tokens of a lone request. */
-        @Parameter(names = "--token-interval-millis", description = "Milliseconds between tokens of a lone request")
+        @Parameter(
+                names = "--token-interval-millis",
+                description = "Milliseconds between tokens of the only running request")
         private double tokenIntervalMillis = 10;
 
-        /** The part by which the interval grows under load. */
-        @Parameter(names = "--load-slope", description = "Part by which the interval grows when all slots run")
+        @Parameter(names = "--load-slope", description = "Share by which the interval grows when all slots are in use")
         private double loadSlope = 1;
 
-        /** The speed of reading prompts. */
-        @Parameter(names = "--prefill-tokens-per-second", description = "Prompt tokens that are read in a second")
+        @Parameter(names = "--prefill-tokens-per-second", description = "Prompt tokens processed per second")
         private double prefillTokensPerSecond = 8_000;
 
-        /** The memory of the prefix cache. */
-        @Parameter(names = "--cache-tokens", description = "Memory of the prefix cache in tokens")
+        @Parameter(names = "--cache-tokens", description = "Capacity of the prefix cache in tokens")
         private int cacheTokens = 20_000;
 
-        /** Whether old fencing numbers are refused. */
-        @Parameter(names = "--checks-fencing", arity = 1, description = "Whether old fencing numbers are refused")
+        @Parameter(
+                names = "--checks-fencing",
+                arity = 1,
+                description = "Whether orders with an old fencing number are rejected")
         private boolean checksFencing = true;
 
-        /** The pool to register for. */
         @Parameter(names = "--pool", description = "Pool for which the platform may supply this backend server")
         private String pool = "";
 
-        /** The data centre. */
         @Parameter(names = "--data-centre", description = "Data centre of this backend server")
         private String dataCentre = "";
 
-        /** The address of the platform to register with. */
         @Parameter(
                 names = "--platform-address",
                 converter = AddressConverter.class,
@@ -160,12 +141,8 @@
         }
 
         /**
-         * Registers with the platform. The client is closed at the end, and so is reachable until then: Vert.x closes a
-         * client that nothing refers to.
-         *
-         * @param vertx The Vert.x instance.
-         * @param server The server.
-         * @return The server.
+         * Registers the engine with the platform. The client is closed only at the end, which also keeps it reachable
+         * until then: Vert.x closes a client that is no longer referenced.
          */
         private Future<HttpServer> register(Vertx vertx, HttpServer server) {
             BackendServer self = new BackendServer(
@@ -190,11 +167,10 @@
         }
     }
 
-    /** The settings of a plain service. */
-    @Parameters(commandDescription = "Runs the stand-in of a plain service")
+    /** Settings of the command that emulates a service. */
+    @Parameters(commandDescription = "Emulates a service other than a model engine")
     static final class ServiceSettings extends EmulatorSettings {
 
-        /** The time a call takes. */
         @Parameter(names = "--call-millis", description = "Milliseconds that a call takes")
         private long callMillis = 5;
 
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/ChatRequest.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/ChatRequest.java
@@ -7,15 +7,14 @@
 import java.util.Map;
 
 /**
- * The parts of a chat completion that the stand-in reads.
+ * The parts of a completion request that the emulated engine reads.
  *
- * @param model The model.
- * @param messages The messages.
+ * @param messages The messages of a chat completion, or null.
  * @param prompt The prompt of a plain completion, or null.
- * @param stream Whether to stream.
- * @param maxTokens The highest number of output tokens, or null.
+ * @param stream Whether to stream the answer; null stands for false.
+ * @param maxTokens The maximum number of output tokens, or null.
  * @param resumeFrom The number of output tokens that were delivered before, or null.
- * @param metadata Additional fields; output_tokens sets the length of the answer, tool_call names a tool to call.
+ * @param metadata Additional fields: output_tokens sets the length of the answer, tool_call names a tool to call.
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record ChatRequest(
@@ -27,20 +26,14 @@
         @JsonProperty("resume_from") Integer resumeFrom,
         Map<String, String> metadata) {
 
-    /** The metadata field that names a tool to call. */
     private static final String TOOL_CALL = "tool_call";
 
-    /** The length of an answer that nothing limits, in tokens. */
+    /** Length of an answer for which the request states none. */
     private static final int DEFAULT_OUTPUT_TOKENS = 32;
 
-    /** The metadata field that sets the length of the answer. */
     private static final String OUTPUT_TOKENS = "output_tokens";
 
-    /**
-     * Returns the text of the prompt.
-     *
-     * @return The text.
-     */
+    /** Returns the text of all messages, or of the plain prompt. */
     public String promptText() {
         if (messages == null) {
             return String.valueOf(prompt);
@@ -50,77 +43,47 @@
         return text.toString();
     }
 
-    /**
-     * Returns the text by which cached prefixes are recognised.
-     *
-     * @return The content of the first message, or the prompt.
-     */
+    /** Returns the text by which a cached prefix is recognised: the first message, or the plain prompt. */
     public String prefixText() {
         return messages == null || messages.isEmpty()
                 ? String.valueOf(prompt)
                 : messages.get(0).text();
     }
 
-    /**
-     * Returns the length of the answer.
-     *
-     * @return The number of tokens.
-     */
+    /** Returns the length of the answer in tokens. */
     public int outputTokens() {
-        return maxTokens == null ? wantedTokens() : Math.min(wantedTokens(), maxTokens);
+        return maxTokens == null ? requestedOutputTokens() : Math.min(requestedOutputTokens(), maxTokens);
     }
 
-    /**
-     * Returns the length of the answer without a limit.
-     *
-     * @return The number of tokens.
-     */
-    private int wantedTokens() {
-        String wanted = metadata == null ? null : metadata.get(OUTPUT_TOKENS);
-        return wanted == null ? DEFAULT_OUTPUT_TOKENS : Integer.parseInt(wanted);
+    /** Returns the length of the answer before the limit is applied. */
+    private int requestedOutputTokens() {
+        String requested = metadata == null ? null : metadata.get(OUTPUT_TOKENS);
+        return requested == null ? DEFAULT_OUTPUT_TOKENS : Integer.parseInt(requested);
     }
 
-    /**
-     * Returns the tool to call.
-     *
-     * @return The name of the tool, or null for an answer in text.
-     */
+    /** Returns the name of the tool to call, or null for an answer in text. */
     public String toolCall() {
         return metadata == null ? null : metadata.get(TOOL_CALL);
     }
 
-    /**
-     * Tells whether to stream.
-     *
-     * @return Whether to.
-     */
     public boolean isStream() {
         return Boolean.TRUE.equals(stream);
     }
 
-    /**
-     * Tells whether the highest number of output tokens cuts the answer.
-     *
-     * @return Whether it does.
-     */
+    /** Returns whether the answer is cut off by the maximum number of output tokens. */
     public boolean isCut() {
-        return maxTokens != null && maxTokens < wantedTokens();
+        return maxTokens != null && maxTokens < requestedOutputTokens();
     }
 
     /**
-     * A message.
+     * A message of a chat.
      *
-     * @param role The role.
      * @param content The content: a text, a list of parts, or null.
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Message(String role, JsonNode content) {
 
-        /**
-         * Returns the text of the content.
-         *
-         * @return The text, that of all parts one after another.
-         */
+        /** Returns the text of the content, with the parts of a list joined. */
         String text() {
             if (content == null || content.isNull()) {
                 return "";
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/CrashAction.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/CrashAction.java
@@ -2,22 +2,17 @@
 
 import io.vertx.core.http.HttpServer;
 
-/** What an engine does when a request crashes it. */
+/** Crashes an engine when a request asks for it. */
 public interface CrashAction {
 
-    /**
-     * Crashes an engine.
-     *
-     * @param server The server of the engine.
-     */
+    /** Crashes the engine that the server belongs to. */
     void crash(HttpServer server);
 
-    /** Ends the whole process at once. */
+    /** Terminates the process immediately. */
     enum Halt implements CrashAction {
-        /** The only instance. */
         INSTANCE;
 
-        /** The status with which the process ends. */
+        /** The exit status of a process that SIGABRT has terminated. */
         private static final int STATUS = 134;
 
         @Override
@@ -26,9 +21,8 @@
         }
     }
 
-    /** Closes the listener and all connections, for an engine that shares its process with others. */
+    /** Closes the listener and its connections, for an engine that shares its process with others. */
     enum Close implements CrashAction {
-        /** The only instance. */
         INSTANCE;
 
         @Override
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EmulatedEngine.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EmulatedEngine.java
@@ -20,93 +20,73 @@
 import org.cranberrygauge.model.record.UsageFigures;
 
 /**
- * The stand-in of an engine that batches continuously.
+ * Emulates a model engine with continuous batching.
  *
- * <p>All exchanges run on one event loop.
+ * <p>All requests are handled on one event loop.
  */
 public final class EmulatedEngine {
 
-    /** The header with the label by which usage is counted. */
+    /** The header with the label under which usage is counted. */
     public static final String USAGE_LABEL_HEADER = "X-Usage-Label";
 
-    /** The status of an answer to a request for a model that does not run here. */
     private static final int NOT_FOUND = 404;
 
-    /** The header with the priority; those of a lower number run first. */
+    /** The header with the priority; a lower number runs first. */
     static final String PRIORITY_HEADER = "X-Priority";
 
-    /** The status of an answer to an order with an old fencing number. */
     private static final int CONFLICT = 409;
 
-    /** The status of an answer to a fault that does not exist. */
     private static final int BAD_REQUEST = 400;
 
-    /** The text in a prompt that crashes the engine. */
+    /** A prompt that contains this text crashes the engine. */
     private static final String CRASH_TEXT = "CRASH-THE-ENGINE";
 
-    /** The time between two samples of the load in milliseconds. */
-    private static final long SAMPLE_MILLIS = 20;
+    private static final long SAMPLE_INTERVAL_MILLIS = 20;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** What the engine does when a request crashes it. */
     private final CrashAction crashAction;
 
-    /** Whether orders with an old fencing number are refused. */
     private final boolean checksFencing;
 
-    /** The models that run here. */
     private Set<String> models;
 
-    /** The highest fencing number seen. */
-    private long highestFencing;
+    private long highestFencingNumber;
 
-    /** The server, once it listens. */
     private HttpServer server;
 
-    /** The load over the last time. */
+    /** Samples of the load, so that it can be reported with a lag. */
     private final LoadHistory history = new LoadHistory();
 
-    /** The speed. */
     private final EngineSpeed speed;
 
-    /** The cache of prefixes. */
     private final PrefixCache cache;
 
-    /** The requests that wait for a slot. */
     private final List<EngineStream> waiting = new ArrayList<>();
 
-    /** The requests that run. */
     private final Set<EngineStream> running = new HashSet<>();
 
-    /** The usage by label. */
     private final Map<String, UsageFigures> usage = new HashMap<>();
 
-    /** The credentials that were sent. */
     private final Set<String> credentials = new HashSet<>();
 
-    /** The names of the headers that were sent. */
     private final Set<String> headers = new HashSet<>();
 
-    /** The faults that are on. */
     private final EngineFaults faults = new EngineFaults();
 
-    /** The requests that arrived. */
+    /** The number of requests received. */
     private long started;
 
-    /** The requests whose connection went away. */
+    /** The number of requests whose connection was closed by the caller before they ended. */
     private long cancelled;
 
     /**
-     * Creates a stand-in.
+     * Creates an idle engine that does not listen yet.
      *
-     * @param vertx The Vert.x instance.
-     * @param models The models that run here.
-     * @param speed The speed.
-     * @param cacheTokens The memory of the prefix cache in tokens.
-     * @param checksFencing Whether orders with an old fencing number are refused.
-     * @param crashAction What the engine does when a request crashes it.
+     * @param models The models that the engine serves until its role is changed.
+     * @param cacheTokens The capacity of the prefix cache in tokens.
+     * @param checksFencing Whether orders with an old fencing number are rejected.
+     * @param crashAction What happens when a request crashes the engine.
      */
     public EmulatedEngine(
             Vertx vertx,
@@ -123,48 +103,33 @@
         this.cache = new PrefixCache(cacheTokens);
     }
 
-    /**
-     * Starts to listen.
-     *
-     * @param address The address.
-     * @return The server.
-     */
+    /** Starts the HTTP server. */
     public Future<HttpServer> listen(NetworkAddress address) {
         Router router = EmulatorHttpServer.router(vertx);
         router.post("/v1/chat/completions").handler(this::complete);
         router.post("/v1/completions").handler(this::complete);
-        router.get("/counts").handler(context -> EmulatorHttpServer.answer(context, counts()));
-        router.get("/load").handler(this::load);
+        router.get("/counts").handler(context -> EmulatorHttpServer.respond(context, counts()));
+        router.get("/load").handler(this::respondWithLoad);
         router.post("/role").handler(this::changeRole);
-        router.get("/cache-events").handler(this::cacheEvents);
+        router.get("/cache-events").handler(this::respondWithCacheEvents);
         router.post("/faults").handler(this::switchFault);
         vertx.setPeriodic(
-                SAMPLE_MILLIS,
+                SAMPLE_INTERVAL_MILLIS,
                 timer -> history.add(new LoadHistory.Sample(
                         System.currentTimeMillis(), running.size(), waiting.size(), cache.eventCount())));
         return EmulatorHttpServer.listen(vertx, router, address).onSuccess(listening -> server = listening);
     }
 
-    /**
-     * Returns the faults that are on.
-     *
-     * @return The faults.
-     */
     EngineFaults faults() {
         return faults;
     }
 
-    /**
-     * Takes a completion.
-     *
-     * @param context The exchange.
-     */
     private void complete(RoutingContext context) {
         started++;
         credentials.add(String.valueOf(context.request().getHeader("Authorization")));
         context.request().headers().names().forEach(name -> headers.add(name.toLowerCase(Locale.ROOT)));
-        ChatRequest request = EmulatorHttpServer.body(context, ChatRequest.class);
-        if (request == null || answeredByFault(context)) {
+        ChatRequest request = EmulatorHttpServer.readBody(context, ChatRequest.class);
+        if (request == null || injectFault(context)) {
             return;
         }
         if (request.promptText().contains(CRASH_TEXT)) {
@@ -172,7 +137,7 @@
             return;
         }
         if (!models.contains(request.model())) {
-            EmulatorHttpServer.answer(context, NOT_FOUND, new EmulatorHttpServer.MessageBody("no such model"));
+            EmulatorHttpServer.respond(context, NOT_FOUND, new EmulatorHttpServer.MessageBody("no such model"));
             return;
         }
         EngineStream stream = new EngineStream(this, context, request);
@@ -182,14 +147,13 @@
     }
 
     /**
-     * Lets a fault answer, if one is on.
+     * Injects a fault into a request, if one is on.
      *
-     * @param context The exchange.
-     * @return Whether it answered or swallowed the request.
+     * @return Whether the request has been answered, dropped or left hanging.
      */
-    private boolean answeredByFault(RoutingContext context) {
+    private boolean injectFault(RoutingContext context) {
         if (faults.isOn(Fault.STATUS)) {
-            EmulatorHttpServer.answer(
+            EmulatorHttpServer.respond(
                     context, (int) faults.strength(Fault.STATUS), new EmulatorHttpServer.MessageBody("fault"));
             return true;
         }
@@ -198,13 +162,12 @@
             return true;
         }
         if (faults.isOn(Fault.DROP)) {
-            EmulatorHttpServer.drop(context);
+            EmulatorHttpServer.dropConnection(context);
             return true;
         }
         return faults.isOn(Fault.HANG);
     }
 
-    /** Starts waiting requests while a slot is free. */
     private void startWaiting() {
         while (running.size() < speed.slots() && !waiting.isEmpty()) {
             EngineStream stream = waiting.stream()
@@ -216,44 +179,23 @@
                     TokenText.digest(stream.request().prefixText()),
                     TokenText.count(stream.request().prefixText()));
             int uncached = Math.max(1, stream.promptTokens() - cachedTokens);
-            vertx.setTimer(atLeastOne(speed.prefillMillis(uncached, slowness())), timer -> stream.step());
+            vertx.setTimer(timerMillis(speed.prefillMillis(uncached, slowness())), timer -> stream.step());
         }
     }
 
-    /**
-     * Schedules the next token of a request.
-     *
-     * @param stream The request.
-     */
     void scheduleToken(EngineStream stream) {
-        vertx.setTimer(atLeastOne(speed.intervalMillis(running.size(), slowness())), timer -> stream.step());
+        vertx.setTimer(timerMillis(speed.intervalMillis(running.size(), slowness())), timer -> stream.step());
     }
 
-    /**
-     * Ends a request.
-     *
-     * @param stream The request.
-     */
     void finish(EngineStream stream) {
         running.remove(stream);
         startWaiting();
     }
 
-    /**
-     * Counts usage.
-     *
-     * @param label The label that the gateway sent.
-     * @param figures The usage.
-     */
     void count(String label, UsageFigures figures) {
         usage.merge(label, figures, UsageFigures::plus);
     }
 
-    /**
-     * Cancels a request whose connection went away.
-     *
-     * @param stream The request.
-     */
     private void cancel(EngineStream stream) {
         if (stream.cancel()) {
             cancelled++;
@@ -262,18 +204,14 @@
         }
     }
 
-    /**
-     * Answers with the cache events that are published by now.
-     *
-     * @param context The exchange.
-     */
-    private void cacheEvents(RoutingContext context) {
+    /** Responds with the cache events published so far. */
+    private void respondWithCacheEvents(RoutingContext context) {
         int after = Integer.parseInt(context.request().getParam("after", "0"));
         int gap = (int) faults.strength(Fault.CACHE_EVENT_GAP);
         int published = faults.isOn(Fault.CACHE_EVENT_LAG_MILLIS)
                 ? sampleBefore(faults.strength(Fault.CACHE_EVENT_LAG_MILLIS)).cacheEvents()
                 : cache.eventCount();
-        EmulatorHttpServer.answer(
+        EmulatorHttpServer.respond(
                 context,
                 cache.eventsAfter(after).stream()
                         .filter(event -> event.number() <= published)
@@ -281,98 +219,66 @@
                         .toList());
     }
 
-    /**
-     * Answers with the load report, which lags.
-     *
-     * @param context The exchange.
-     */
-    private void load(RoutingContext context) {
+    /** Responds with the load report, which may lag. */
+    private void respondWithLoad(RoutingContext context) {
         LoadHistory.Sample sample = sampleBefore(faults.strength(Fault.LOAD_LAG_MILLIS));
-        EmulatorHttpServer.answer(
+        EmulatorHttpServer.respond(
                 context, new LoadReport(sample.running(), sample.waiting(), speed.slots(), sample.takenAtMillis()));
     }
 
-    /**
-     * Returns the sample of some time ago.
-     *
-     * @param agoMillis The time in milliseconds.
-     * @return The sample.
-     */
+    /** Returns the sample taken the given time ago. */
     private LoadHistory.Sample sampleBefore(double agoMillis) {
         return history.at(System.currentTimeMillis() - (long) agoMillis);
     }
 
-    /**
-     * Changes the models that run here.
-     *
-     * @param context The exchange.
-     */
+    /** Replaces the models that the engine serves, unless the order carries an old fencing number. */
     private void changeRole(RoutingContext context) {
-        RoleOrder order = EmulatorHttpServer.body(context, RoleOrder.class);
+        RoleOrder order = EmulatorHttpServer.readBody(context, RoleOrder.class);
         if (order == null) {
             return;
         }
-        if (checksFencing && order.fencingNumber() < highestFencing) {
-            EmulatorHttpServer.answer(context, CONFLICT, new EmulatorHttpServer.MessageBody("fenced"));
+        if (checksFencing && order.fencingNumber() < highestFencingNumber) {
+            EmulatorHttpServer.respond(context, CONFLICT, new EmulatorHttpServer.MessageBody("fenced"));
             return;
         }
-        highestFencing = Math.max(highestFencing, order.fencingNumber());
+        highestFencingNumber = Math.max(highestFencingNumber, order.fencingNumber());
         models = Set.copyOf(order.models());
-        EmulatorHttpServer.answer(context, order);
+        EmulatorHttpServer.respond(context, order);
     }
 
-    /**
-     * Switches a fault.
-     *
-     * @param context The exchange.
-     */
     private void switchFault(RoutingContext context) {
-        FaultSwitch change = EmulatorHttpServer.body(context, FaultSwitch.class);
+        FaultSwitch change = EmulatorHttpServer.readBody(context, FaultSwitch.class);
         if (change == null) {
             return;
         }
         if (faults.change(change)) {
-            EmulatorHttpServer.answer(context, change);
+            EmulatorHttpServer.respond(context, change);
         } else {
-            EmulatorHttpServer.answer(context, BAD_REQUEST, new EmulatorHttpServer.MessageBody("no such fault"));
+            EmulatorHttpServer.respond(context, BAD_REQUEST, new EmulatorHttpServer.MessageBody("no such fault"));
         }
     }
 
-    /**
-     * Returns what was counted.
-     *
-     * @return The counts.
-     */
     private EngineCounts counts() {
         return new EngineCounts(usage, credentials, running.size(), waiting.size(), cancelled, headers, started);
     }
 
-    /**
-     * Returns the factor by which the engine is slowed down.
-     *
-     * @return The factor.
-     */
+    /** Returns the factor by which the engine is slowed down, at least 1. */
     private double slowness() {
         return Math.max(1, faults.strength(Fault.SLOW));
     }
 
-    /**
-     * Rounds a time for a timer.
-     *
-     * @param millis The time in milliseconds.
-     * @return The time in whole milliseconds.
-     */
-    private static long atLeastOne(double millis) {
+    /** Rounds a delay to whole milliseconds; timers need at least one. */
+    private static long timerMillis(double millis) {
         return Math.max(1, Math.round(millis));
     }
 
     /**
-     * The load report.
+     * The load at the time of a sample, served at /load.
      *
-     * @param running The requests that ran.
-     * @param waiting The requests that waited.
-     * @param slots The number of requests that run at once.
-     * @param takenAtMillis The time of which it tells in milliseconds of the epoch.
+     * @param running The number of requests that were running.
+     * @param waiting The number of requests that were queued.
+     * @param slots The number of requests that can run concurrently.
+     * @param takenAtMillis The time of the sample in milliseconds since the epoch.
      */
     public record LoadReport(int running, int waiting, int slots, long takenAtMillis) {}
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineCounts.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineCounts.java
@@ -5,15 +5,15 @@
 import org.cranberrygauge.model.record.UsageFigures;
 
 /**
- * What an engine counted itself.
+ * Counts of an emulated engine, served at /counts.
  *
  * @param usage The usage by the label that the gateway sent.
- * @param credentials The credentials that callers of the engine sent.
- * @param running The requests that run.
- * @param waiting The requests that wait.
- * @param cancelled The requests whose connection went away.
- * @param headers The names of the headers that were sent, in lower case.
- * @param started The requests that arrived.
+ * @param credentials The Authorization headers that were received.
+ * @param running The number of running requests.
+ * @param waiting The number of queued requests.
+ * @param cancelled The number of requests whose connection was closed before they ended.
+ * @param headers The names of the headers that were received, in lower case.
+ * @param started The number of requests received.
  */
 public record EngineCounts(
         Map<String, UsageFigures> usage,
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineFaults.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineFaults.java
@@ -6,20 +6,19 @@
 import org.cranberrygauge.emulator.web.FaultSwitch;
 
 /**
- * The faults of an engine that are on.
+ * The faults that are on at an emulated engine.
  *
  * <p>Used on the event loop of its engine only.
  */
 final class EngineFaults {
 
-    /** The strength of each fault that is on. */
+    /** Strengths of the faults that have been switched; 0 for a fault that was switched off. */
     private final Map<Fault, Double> strengths = new EnumMap<>(Fault.class);
 
     /**
      * Switches a fault.
      *
-     * @param change The switch.
-     * @return Whether there is such a fault.
+     * @return Whether the fault exists.
      */
     boolean change(FaultSwitch change) {
         String name = String.valueOf(change.name()).toUpperCase(Locale.ROOT);
@@ -32,51 +31,40 @@
         return false;
     }
 
-    /**
-     * Returns the strength of a fault.
-     *
-     * @param fault The fault.
-     * @return The strength; 0 if it is off.
-     */
+    /** Returns the strength of a fault; 0 if it is off. */
     double strength(Fault fault) {
         return strengths.getOrDefault(fault, 0.0);
     }
 
-    /**
-     * Tells whether a fault is on.
-     *
-     * @param fault The fault.
-     * @return Whether it is on.
-     */
     boolean isOn(Fault fault) {
         return strength(fault) > 0;
     }
 
-    /** The faults that can be switched. */
+    /** Faults that can be switched on. */
     enum Fault {
-        /** The engine is slower by the given factor. */
+        /** The engine is slower by this factor. */
         SLOW,
-        /** Answers are garbage. */
+        /** Responses are not valid JSON. */
         GARBAGE,
-        /** Connections are dropped. */
+        /** Connections are closed without a response. */
         DROP,
         /** Requests are never answered. */
         HANG,
-        /** Requests are answered with the given status. */
+        /** Requests are answered with this status. */
         STATUS,
-        /** Answers carry the identifier of another attempt. */
+        /** Responses carry the identifier of another attempt. */
         CROSSED,
-        /** Streams break after the given number of tokens. */
+        /** Connections are closed after this number of tokens. */
         BREAK_AFTER_TOKENS,
-        /** Streams stop without an end after the given number of tokens. */
+        /** Streams stop without an end after this number of tokens. */
         HANG_AFTER_TOKENS,
-        /** Streams have a garbage event after the given number of tokens. */
+        /** Streams contain an invalid event after this number of tokens, and then stop. */
         GARBAGE_AFTER_TOKENS,
-        /** The load report is older by the given number of milliseconds. */
+        /** The load report is this many milliseconds old. */
         LOAD_LAG_MILLIS,
-        /** Cache events are published later by the given number of milliseconds. */
+        /** Cache events are published this many milliseconds late. */
         CACHE_EVENT_LAG_MILLIS,
-        /** Of the given number of cache events, each last one is never published. */
+        /** Every cache event whose number is a multiple of this one is never published. */
         CACHE_EVENT_GAP
     }
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStream.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStream.java
@@ -9,43 +9,30 @@
 import org.cranberrygauge.model.record.UsageFigures;
 
 /**
- * One request that an engine runs.
+ * A request that is queued on or run by an emulated engine.
  *
  * <p>Used on the event loop of its engine only.
  */
 final class EngineStream {
 
-    /** The engine. */
     private final EmulatedEngine engine;
 
-    /** The exchange. */
     private final RoutingContext context;
 
-    /** The request. */
     private final ChatRequest request;
 
-    /** The short digest of the prompt. */
     private final String promptDigest;
 
-    /** The number of prompt tokens. */
     private final int promptTokens;
 
-    /** The position of the next token. */
+    /** The position of the next token in the whole answer; a resumed request does not start at 0. */
     private int position;
 
-    /** The number of tokens generated here. */
+    /** The number of tokens generated for this request, without those delivered before it was resumed. */
     private int generated;
 
-    /** Whether the request has ended. */
     private boolean ended;
 
-    /**
-     * Creates a stream.
-     *
-     * @param engine The engine.
-     * @param context The exchange.
-     * @param request The request.
-     */
     EngineStream(EmulatedEngine engine, RoutingContext context, ChatRequest request) {
         this.engine = engine;
         this.context = context;
@@ -55,20 +42,10 @@
         this.position = request.resumeFrom() == null ? 0 : request.resumeFrom();
     }
 
-    /**
-     * Returns the request.
-     *
-     * @return The request.
-     */
     ChatRequest request() {
         return request;
     }
 
-    /**
-     * Returns the number of prompt tokens.
-     *
-     * @return The number.
-     */
     int promptTokens() {
         return promptTokens;
     }
@@ -82,7 +59,7 @@
             end();
             return;
         }
-        if (brokenByFault()) {
+        if (injectFault()) {
             return;
         }
         if (request.isStream()) {
@@ -94,46 +71,37 @@
     }
 
     /**
-     * Lets a fault break the stream, if one is on.
+     * Injects a fault into the stream, if one is on and its number of tokens has been generated.
      *
-     * @return Whether it did.
+     * @return Whether the stream was broken and generates no further tokens.
      */
-    private boolean brokenByFault() {
-        if (reached(Fault.BREAK_AFTER_TOKENS)) {
-            EmulatorHttpServer.drop(context);
+    private boolean injectFault() {
+        if (isTriggered(Fault.BREAK_AFTER_TOKENS)) {
+            EmulatorHttpServer.dropConnection(context);
             return true;
         }
-        if (reached(Fault.GARBAGE_AFTER_TOKENS)) {
+        if (isTriggered(Fault.GARBAGE_AFTER_TOKENS)) {
             context.response().write("data: {\"choices\": 7\n\n");
             return true;
         }
-        return reached(Fault.HANG_AFTER_TOKENS);
+        return isTriggered(Fault.HANG_AFTER_TOKENS);
     }
 
-    /**
-     * Tells whether a fault sets in after the tokens generated so far.
-     *
-     * @param fault The fault, whose strength is a number of tokens.
-     * @return Whether it does.
-     */
-    private boolean reached(Fault fault) {
+    /** Returns whether a fault is on whose strength, a number of tokens, has been generated. */
+    private boolean isTriggered(Fault fault) {
         return engine.faults().isOn(fault) && generated >= engine.faults().strength(fault);
     }
 
-    /**
-     * Returns the place in the queue: engines run those of a lower number first.
-     *
-     * @return The priority as sent, 0 being the highest.
-     */
+    /** Returns the priority sent by the caller; 0, the default, is the highest. */
     int priority() {
         String header = context.request().getHeader(EmulatedEngine.PRIORITY_HEADER);
         return header == null ? 0 : Integer.parseInt(header);
     }
 
     /**
-     * Marks the request as cancelled.
+     * Cancels the request and counts the usage so far.
      *
-     * @return Whether it had not ended before.
+     * @return Whether the request had not ended before.
      */
     boolean cancel() {
         boolean first = !ended;
@@ -144,20 +112,15 @@
         return first;
     }
 
-    /** Writes the next token as an event. */
     private void writeToken() {
         HttpServerResponse response = context.response();
         if (generated == 0) {
-            prepare(response.setChunked(true).putHeader("Content-Type", "text/event-stream"));
+            addAttemptHeader(response.setChunked(true).putHeader("Content-Type", "text/event-stream"));
         }
-        response.write("data: " + frame(chunkObject(), streamChoice()).encode() + "\n\n");
+        response.write("data: " + responseObject(chunkType(), streamChoice()).encode() + "\n\n");
     }
 
-    /**
-     * Builds the choice of the next token.
-     *
-     * @return The choice.
-     */
+    /** Builds the choice with the next token. The first part of a tool call carries its identifier and name. */
     private JsonObject streamChoice() {
         String text = TokenText.token(promptDigest, position);
         JsonObject choice = new JsonObject().put("index", 0).putNull("finish_reason");
@@ -179,29 +142,14 @@
         return choice.put("delta", position == 0 ? delta.put("role", "assistant") : delta);
     }
 
-    /**
-     * Tells whether this is a chat.
-     *
-     * @return Whether it is, else it is a plain completion.
-     */
     private boolean isChat() {
         return request.messages() != null;
     }
 
-    /**
-     * Returns the kind of object of an event.
-     *
-     * @return The kind.
-     */
-    private String chunkObject() {
+    private String chunkType() {
         return isChat() ? "chat.completion.chunk" : "text_completion";
     }
 
-    /**
-     * Tells why the answer ends.
-     *
-     * @return The reason.
-     */
     private String finishReason() {
         if (request.toolCall() != null) {
             return "tool_calls";
@@ -209,7 +157,6 @@
         return request.isCut() ? "length" : "stop";
     }
 
-    /** Ends the request with its last event or its whole answer. */
     private void end() {
         ended = true;
         countUsage();
@@ -225,9 +172,9 @@
             } else {
                 choice.put("text", "");
             }
-            JsonObject last = frame(chunkObject(), choice).put("usage", usage);
+            JsonObject last = responseObject(chunkType(), choice).put("usage", usage);
             if (generated == 0) {
-                prepare(response.setChunked(true).putHeader("Content-Type", "text/event-stream"));
+                addAttemptHeader(response.setChunked(true).putHeader("Content-Type", "text/event-stream"));
             }
             response.end("data: " + last.encode() + "\n\ndata: [DONE]\n\n");
         } else {
@@ -235,25 +182,21 @@
                     new JsonObject().put("role", "assistant").put("content", TokenText.answer(promptDigest, position));
             JsonObject choice =
                     new JsonObject().put("index", 0).put("message", message).put("finish_reason", finishReason());
-            prepare(response.putHeader("Content-Type", "application/json"))
-                    .end(frame("chat.completion", choice).put("usage", usage).encode());
+            addAttemptHeader(response.putHeader("Content-Type", "application/json"))
+                    .end(responseObject("chat.completion", choice)
+                            .put("usage", usage)
+                            .encode());
         }
         engine.finish(this);
     }
 
-    /** Counts what was generated here. */
     private void countUsage() {
         String label = context.request().getHeader(EmulatedEngine.USAGE_LABEL_HEADER);
         engine.count(String.valueOf(label), new UsageFigures(1, promptTokens, generated));
     }
 
-    /**
-     * Echoes the attempt on the answer.
-     *
-     * @param response The answer.
-     * @return The answer.
-     */
-    private HttpServerResponse prepare(HttpServerResponse response) {
+    /** Adds the attempt identifier of the request to the response, or a wrong one if the fault CROSSED is on. */
+    private HttpServerResponse addAttemptHeader(HttpServerResponse response) {
         String attempt = context.request().getHeader("X-Attempt-Id");
         if (engine.faults().isOn(Fault.CROSSED)) {
             return response.putHeader("X-Attempt-Id", "another-attempt");
@@ -261,14 +204,7 @@
         return attempt == null ? response : response.putHeader("X-Attempt-Id", attempt);
     }
 
-    /**
-     * Builds the frame of an event or answer.
-     *
-     * @param object The kind of object.
-     * @param choice The choice.
-     * @return The frame.
-     */
-    private JsonObject frame(String object, JsonObject choice) {
+    private JsonObject responseObject(String object, JsonObject choice) {
         return new JsonObject()
                 .put("id", "chatcmpl-" + promptDigest)
                 .put("object", object)
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/LoadHistory.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/LoadHistory.java
@@ -4,53 +4,46 @@
 import java.util.Deque;
 
 /**
- * The load of an engine over the last time, so that it can be reported with a lag.
+ * Recent samples of the load of an engine, so that it can be reported with a lag.
  *
  * <p>Used by one thread.
  */
 final class LoadHistory {
 
-    /** The time for which samples are kept in milliseconds. */
-    private static final long KEPT_MILLIS = 30_000;
+    private static final long RETENTION_MILLIS = 30_000;
 
-    /** The samples, oldest first. */
+    /** Oldest first. */
     private final Deque<Sample> samples = new ArrayDeque<>();
 
-    /**
-     * Adds a sample.
-     *
-     * @param sample The sample.
-     */
     void add(Sample sample) {
         samples.addLast(sample);
-        while (samples.peekFirst().takenAtMillis() < sample.takenAtMillis() - KEPT_MILLIS) {
+        while (samples.peekFirst().takenAtMillis() < sample.takenAtMillis() - RETENTION_MILLIS) {
             samples.removeFirst();
         }
     }
 
     /**
-     * Returns the newest sample of a time or before.
+     * Returns the newest sample that was taken at a time or before it, or one of an idle engine if there is none.
      *
-     * @param atMillis The time in milliseconds of the epoch.
-     * @return The sample, or that of an idle engine.
+     * @param atMillis The time in milliseconds since the epoch.
      */
     Sample at(long atMillis) {
-        Sample found = new Sample(atMillis, 0, 0, 0);
+        Sample latest = new Sample(atMillis, 0, 0, 0);
         for (Sample sample : samples) {
             if (sample.takenAtMillis() > atMillis) {
-                return found;
+                return latest;
             }
-            found = sample;
+            latest = sample;
         }
-        return found;
+        return latest;
     }
 
     /**
      * The load at one time.
      *
-     * @param takenAtMillis The time in milliseconds of the epoch.
-     * @param running The requests that ran.
-     * @param waiting The requests that waited.
+     * @param takenAtMillis The time in milliseconds since the epoch.
+     * @param running The number of running requests.
+     * @param waiting The number of queued requests.
      * @param cacheEvents The number of cache events so far.
      */
     record Sample(long takenAtMillis, int running, int waiting, int cacheEvents) {}
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/PrefixCache.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/PrefixCache.java
@@ -7,46 +7,38 @@
 import java.util.Map;
 
 /**
- * The cache of prompt prefixes in limited memory, least recently used first out.
+ * Cache of prompt prefixes with limited capacity, from which the least recently used prefix is evicted first.
  *
  * <p>Used by one thread.
  */
 public final class PrefixCache {
 
-    /** The memory in tokens. */
-    private final int limitTokens;
+    private final int capacityTokens;
 
-    /** The cached tokens by prefix, least recently used first. */
+    /** The number of tokens of each cached prefix, least recently used first. */
     private final Map<String, Integer> cached = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** The events since the start. */
     private final List<CacheEvent> events = new ArrayList<>();
 
-    /** The tokens in the cache. */
     private int usedTokens;
 
-    /**
-     * Creates an empty cache.
-     *
-     * @param limitTokens The memory in tokens.
-     */
-    public PrefixCache(int limitTokens) {
-        this.limitTokens = limitTokens;
+    public PrefixCache(int capacityTokens) {
+        this.capacityTokens = capacityTokens;
     }
 
     /**
-     * Uses a prefix, and keeps it.
+     * Looks up a prefix and caches it if it is missing; a prefix larger than the cache is not cached.
      *
      * @param prefix The digest of the prefix.
      * @param tokens The number of its tokens.
-     * @return The tokens that were cached before.
+     * @return The number of tokens that were cached before.
      */
     public int use(String prefix, int tokens) {
         Integer before = cached.get(prefix);
         if (before != null) {
             return Math.min(before, tokens);
         }
-        if (tokens > limitTokens) {
+        if (tokens > capacityTokens) {
             return 0;
         }
         cached.put(prefix, tokens);
@@ -56,10 +48,10 @@
         return 0;
     }
 
-    /** Drops prefixes until the rest fits. */
+    /** Evicts prefixes until the rest fits. */
     private void evict() {
         Iterator<Map.Entry<String, Integer>> oldest = cached.entrySet().iterator();
-        while (usedTokens > limitTokens) {
+        while (usedTokens > capacityTokens) {
             Map.Entry<String, Integer> entry = oldest.next();
             usedTokens -= entry.getValue();
             events.add(new CacheEvent(events.size() + 1, entry.getKey(), false));
@@ -67,21 +59,12 @@
         }
     }
 
-    /**
-     * Returns the events after a number.
-     *
-     * @param after The number.
-     * @return The events.
-     */
+    /** Returns the events with a higher number than the given one. */
     public List<CacheEvent> eventsAfter(int after) {
         return List.copyOf(events.subList(Math.min(Math.max(0, after), events.size()), events.size()));
     }
 
-    /**
-     * Returns the number of events since the start.
-     *
-     * @return The number.
-     */
+    /** Returns the number of events since the cache was created. */
     public int eventCount() {
         return events.size();
     }
@@ -89,9 +72,9 @@
     /**
      * A change of the cache.
      *
-     * @param number The number, growing by one.
+     * @param number The number of the event, which grows by one from 1.
      * @param prefix The digest of the prefix.
-     * @param stored Whether it was stored, else dropped.
+     * @param stored Whether the prefix was stored; otherwise it was evicted.
      */
     public record CacheEvent(int number, String prefix, boolean stored) {}
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/package-info.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of an engine that runs language models. */
+/** Emulation of a model engine with continuous batching. */
 package org.cranberrygauge.emulator.engine;
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/package-info.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for the systems around the product, and the replay of traces against it. */
+/** Emulators of the platform, of engines and of services, and the replay of traces. */
 package org.cranberrygauge.emulator;
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/FleetStore.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/FleetStore.java
@@ -15,44 +15,36 @@
 /**
  * The backend servers that can be ordered, by pool.
  *
- * <p>Invariants: an order states the whole size of its pool, so that a copy changes nothing; with fencing on, an order
- * with a lower fencing number than one seen is refused. Used by one thread.
+ * <p>Invariants: an order states the total size of its pool, so that repeating it changes nothing; if fencing is
+ * checked, an order with a lower fencing number than one seen before is rejected. Used by one thread.
  */
 public final class FleetStore {
 
-    /** Whether old fencing numbers are refused. */
     private final boolean checksFencing;
 
-    /** The time a backend server takes to start in milliseconds. */
     private final long startMillis;
 
-    /** The registered backend servers by pool. */
     private final Map<String, List<BackendServer>> registered = new HashMap<>();
 
-    /** The time at which each ordered backend server is live, by name. */
+    /** The time at which each ordered backend server becomes live, by name. */
     private final Map<String, Long> liveAtMillis = new HashMap<>();
 
-    /** The data centres that are evicted. */
     private final Set<String> evicted = new HashSet<>();
 
-    /** The backend servers that will leave. */
     private final Set<String> leaving = new HashSet<>();
 
-    /** The rate-limited store of model weights. */
     private final WeightStore weights;
 
-    /** The orders that were carried out, for the count of tests. */
+    /** Accepted orders, which tests inspect. */
     private final List<Order> orders = new ArrayList<>();
 
-    /** The highest fencing number seen. */
-    private long highestFencing;
+    private long highestFencingNumber;
 
     /**
-     * Creates an empty store.
+     * Creates a store without backend servers.
      *
-     * @param checksFencing Whether old fencing numbers are refused.
-     * @param startMillis The time a backend server takes to start in milliseconds, beside the load of its weights.
-     * @param weights The store of model weights.
+     * @param checksFencing Whether orders with an old fencing number are rejected.
+     * @param startMillis The time that a backend server takes to start in milliseconds, after its weights are loaded.
      */
     public FleetStore(boolean checksFencing, long startMillis, WeightStore weights) {
         this.weights = weights;
@@ -60,12 +52,7 @@
         this.startMillis = startMillis;
     }
 
-    /**
-     * Registers a backend server that can be ordered.
-     *
-     * @param pool The name of the pool.
-     * @param server The backend server.
-     */
+    /** Registers a backend server that can be ordered, or replaces one of the same name. */
     public void register(String pool, BackendServer server) {
         List<BackendServer> servers = registered.computeIfAbsent(pool, name -> new ArrayList<>());
         servers.removeIf(other -> other.name().equals(server.name()));
@@ -75,51 +62,42 @@
     /**
      * Carries out an order.
      *
-     * @param nowMillis The present time in milliseconds of the epoch.
-     * @param order The order.
-     * @return What was done.
+     * @param nowMillis The current time in milliseconds since the epoch.
      */
     public OrderAnswer order(long nowMillis, Order order) {
         if (order.deadlineMillis() < nowMillis) {
-            return new OrderAnswer("too_late", present(order.pool()));
+            return new OrderAnswer("too_late", orderedCount(order.pool()));
         }
-        if (checksFencing && order.fencingNumber() < highestFencing) {
-            return new OrderAnswer("fenced", present(order.pool()));
+        if (checksFencing && order.fencingNumber() < highestFencingNumber) {
+            return new OrderAnswer("fenced", orderedCount(order.pool()));
         }
-        highestFencing = Math.max(highestFencing, order.fencingNumber());
+        highestFencingNumber = Math.max(highestFencingNumber, order.fencingNumber());
         orders.add(order);
         resize(nowMillis, order);
-        int present = present(order.pool());
-        return new OrderAnswer(present < order.desiredCount() ? "unavailable" : "done", present);
+        int count = orderedCount(order.pool());
+        return new OrderAnswer(count < order.desiredCount() ? "unavailable" : "done", count);
     }
 
-    /**
-     * Brings a pool to the ordered size.
-     *
-     * @param nowMillis The present time in milliseconds of the epoch.
-     * @param order The order.
-     */
     private void resize(long nowMillis, Order order) {
-        int present = present(order.pool());
+        int count = orderedCount(order.pool());
         for (BackendServer server : registered.getOrDefault(order.pool(), List.of())) {
             boolean live = liveAtMillis.containsKey(server.name());
-            if (!live && present < order.desiredCount() && !evicted.contains(server.dataCentre())) {
+            if (!live && count < order.desiredCount() && !evicted.contains(server.dataCentre())) {
                 liveAtMillis.put(
                         server.name(),
                         weights.reserve(nowMillis, server.serves().size()) + startMillis);
-                present++;
-            } else if (live && present > order.desiredCount()) {
+                count++;
+            } else if (live && count > order.desiredCount()) {
                 liveAtMillis.remove(server.name());
-                present--;
+                count--;
             }
         }
     }
 
     /**
-     * Evicts the cheap backend servers of a data centre, or lets them come back.
+     * Evicts the ordered backend servers of a data centre, or ends the eviction.
      *
-     * @param dataCentre The name of the data centre.
-     * @param evict Whether to evict.
+     * @param evict Whether to evict; otherwise the eviction ends.
      */
     public void evict(String dataCentre, boolean evict) {
         if (!evict) {
@@ -134,13 +112,13 @@
     }
 
     /**
-     * Marks a backend server as leaving, or lets it stay.
+     * Marks a backend server as leaving, or removes the mark.
      *
      * @param server The name of the backend server.
-     * @param leaves Whether it will leave.
+     * @param isLeaving Whether it is leaving.
      */
-    public void leave(String server, boolean leaves) {
-        if (leaves) {
+    public void setLeaving(String server, boolean isLeaving) {
+        if (isLeaving) {
             leaving.add(server);
         } else {
             leaving.remove(server);
@@ -150,8 +128,7 @@
     /**
      * Lists the ordered backend servers.
      *
-     * @param nowMillis The present time in milliseconds of the epoch.
-     * @return The list.
+     * @param nowMillis The current time in milliseconds since the epoch.
      */
     public List<ListedBackendServer> list(long nowMillis) {
         List<ListedBackendServer> list = new ArrayList<>();
@@ -162,22 +139,11 @@
         return list;
     }
 
-    /**
-     * Returns the orders that were carried out.
-     *
-     * @return The orders.
-     */
+    /** Returns the accepted orders, oldest first. */
     public List<Order> orders() {
         return List.copyOf(orders);
     }
 
-    /**
-     * Returns the state of an ordered backend server.
-     *
-     * @param nowMillis The present time in milliseconds of the epoch.
-     * @param server The backend server.
-     * @return The state.
-     */
     private HostState stateOf(long nowMillis, BackendServer server) {
         if (leaving.contains(server.name())) {
             return HostState.LEAVING;
@@ -185,13 +151,8 @@
         return liveAtMillis.get(server.name()) <= nowMillis ? HostState.LIVE : HostState.STARTING;
     }
 
-    /**
-     * Counts the ordered backend servers of a pool.
-     *
-     * @param pool The name of the pool.
-     * @return The number.
-     */
-    private int present(String pool) {
+    /** Counts the ordered backend servers of a pool, live or starting. */
+    private int orderedCount(String pool) {
         return (int) registered.getOrDefault(pool, List.of()).stream()
                 .filter(server -> liveAtMillis.containsKey(server.name()))
                 .count();
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/LogStore.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/LogStore.java
@@ -6,37 +6,27 @@
 import org.cranberrygauge.protocol.platform.PlatformLog.StoredEntry;
 
 /**
- * The entries of the log.
+ * The entries of the emulated log.
  *
- * <p>Invariants: offsets grow by one from 1; entries older than the retention are dropped from the front. Used by one
- * thread.
+ * <p>Invariants: offsets start at 1 and grow by one; entries older than the retention time are removed from the front.
+ * Used by one thread.
  */
 public final class LogStore {
 
-    /** The entries that are kept. */
     private final List<StoredEntry> entries = new ArrayList<>();
 
-    /** The time for which entries are kept in milliseconds. */
     private final long retentionMillis;
 
-    /** The offset of the newest entry. */
     private long endOffset;
 
-    /**
-     * Creates an empty log.
-     *
-     * @param retentionMillis The time for which entries are kept in milliseconds.
-     */
     public LogStore(long retentionMillis) {
         this.retentionMillis = retentionMillis;
     }
 
     /**
-     * Appends an entry.
+     * Appends an entry and returns its offset.
      *
-     * @param nowMillis The present time in milliseconds of the epoch.
-     * @param payload The entry.
-     * @return The offset.
+     * @param nowMillis The current time in milliseconds since the epoch.
      */
     public long append(long nowMillis, String payload) {
         endOffset++;
@@ -45,20 +35,18 @@
     }
 
     /**
-     * Drops entries older than the retention.
+     * Removes the entries that are older than the retention time.
      *
-     * @param nowMillis The present time in milliseconds of the epoch.
+     * @param nowMillis The current time in milliseconds since the epoch.
      */
     public void expire(long nowMillis) {
         entries.removeIf(entry -> entry.appendedAtMillis() + retentionMillis < nowMillis);
     }
 
     /**
-     * Reads entries.
+     * Reads the entries after an offset.
      *
-     * @param afterOffset The offset after which to read.
-     * @param limit The highest number of entries.
-     * @return The entries.
+     * @param limit The maximum number of entries.
      */
     public Page read(long afterOffset, int limit) {
         long first = endOffset - entries.size() + 1;
@@ -67,11 +55,7 @@
         return new Page(entries.isEmpty() ? 0 : first, endOffset, entries.subList(from, to));
     }
 
-    /**
-     * Returns the offset of the newest entry.
-     *
-     * @return The offset; 0 before any.
-     */
+    /** Returns the offset of the newest entry; 0 if none was appended. */
     public long endOffset() {
         return endOffset;
     }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/package-info.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of the platform: log, list of backend servers, orders and usage reports. */
+/** Emulation of the platform: log, backend servers and usage reports. */
 package org.cranberrygauge.emulator.platform;
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/service/EmulatedService.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/service/EmulatedService.java
@@ -17,64 +17,48 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
- * The stand-in of a plain service, such as a ledger, which counts each execution.
+ * Emulates a service other than a model engine, such as a ledger, and counts the executions of each call.
  *
- * <p>All exchanges run on one event loop.
+ * <p>All requests are handled on one event loop.
  */
 public final class EmulatedService {
 
-    /** The header that names a call, whichever way and however often it arrives. */
+    /** The header that identifies a call across all of its attempts and routes. */
     public static final String CALL_HEADER = "X-Call-Id";
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The time a call takes in milliseconds. */
     private final long callMillis;
 
-    /** The executions by call. */
+    /** The number of executions by call; calls by GET are not counted. */
     private final Map<String, Integer> executions = new HashMap<>();
 
-    /** The credentials that were sent. */
     private final Set<String> credentials = new HashSet<>();
 
-    /** The names of the headers that were sent. */
     private final Set<String> headers = new HashSet<>();
 
-    /** The strength of each fault that is on. */
     private final Map<Fault, Double> faults = new EnumMap<>(Fault.class);
 
     /**
-     * Creates a stand-in.
+     * Creates a service that does not listen yet.
      *
-     * @param vertx The Vert.x instance.
-     * @param callMillis The time a call takes in milliseconds.
+     * @param callMillis The duration of a call in milliseconds.
      */
     public EmulatedService(Vertx vertx, long callMillis) {
         this.vertx = vertx;
         this.callMillis = callMillis;
     }
 
-    /**
-     * Starts to listen.
-     *
-     * @param address The address.
-     * @return The server.
-     */
+    /** Starts the HTTP server. */
     public Future<HttpServer> listen(NetworkAddress address) {
         Router router = EmulatorHttpServer.router(vertx);
         router.get("/counts")
-                .handler(context -> EmulatorHttpServer.answer(context, new Counts(executions, credentials, headers)));
+                .handler(context -> EmulatorHttpServer.respond(context, new Counts(executions, credentials, headers)));
         router.post("/faults").handler(this::switchFault);
         router.route().handler(this::call);
         return EmulatorHttpServer.listen(vertx, router, address);
     }
 
-    /**
-     * Takes a call.
-     *
-     * @param context The exchange.
-     */
     private void call(RoutingContext context) {
         credentials.add(String.valueOf(context.request().getHeader("Authorization")));
         String call = String.valueOf(context.request().getHeader(CALL_HEADER));
@@ -84,7 +68,7 @@
         context.request().headers().names().forEach(name -> headers.add(name.toLowerCase(Locale.ROOT)));
         if (strength(Fault.DROP_AFTER_EFFECT) > 0) {
             faults.merge(Fault.DROP_AFTER_EFFECT, -1.0, Double::sum);
-            EmulatorHttpServer.drop(context);
+            EmulatorHttpServer.dropConnection(context);
             return;
         }
         if (strength(Fault.HANG_AFTER_EFFECT) > 0) {
@@ -98,59 +82,46 @@
             context.response().putHeader("X-Attempt-Id", attempt);
         }
         long answerMillis = Math.max(1, callMillis + (long) strength(Fault.LATE_MILLIS));
-        vertx.setTimer(answerMillis, timer -> EmulatorHttpServer.answer(context, answer));
+        vertx.setTimer(answerMillis, timer -> EmulatorHttpServer.respond(context, answer));
     }
 
-    /**
-     * Switches a fault.
-     *
-     * @param context The exchange.
-     */
     private void switchFault(RoutingContext context) {
-        FaultSwitch change = EmulatorHttpServer.body(context, FaultSwitch.class);
+        FaultSwitch change = EmulatorHttpServer.readBody(context, FaultSwitch.class);
         if (change != null) {
             faults.put(Fault.valueOf(change.name().toUpperCase(Locale.ROOT)), change.amount());
-            EmulatorHttpServer.answer(context, change);
+            EmulatorHttpServer.respond(context, change);
         }
     }
 
-    /**
-     * Returns the strength of a fault.
-     *
-     * @param fault The fault.
-     * @return The strength; 0 if it is off.
-     */
     private double strength(Fault fault) {
         return faults.getOrDefault(fault, 0.0);
     }
 
-    /** The faults that can be switched. */
+    /** Faults that can be switched on. */
     private enum Fault {
-        /** The given number of connections are dropped after the effect. */
+        /** This number of calls take effect, but their connection is closed without a response. */
         DROP_AFTER_EFFECT,
-        /** Calls take effect and are never answered. */
+        /** Calls take effect, but are never answered. */
         HANG_AFTER_EFFECT,
-        /** Calls take effect and are answered later by the given number of milliseconds. */
+        /** Calls take effect, but are answered this many milliseconds late. */
         LATE_MILLIS,
-        /** Answers carry the identifier of another attempt. */
+        /** Responses carry the identifier of another attempt. */
         CROSSED
     }
 
     /**
-     * What the service counted.
+     * Counts of the emulated service, served at /counts.
      *
-     * @param executions The executions by call.
-     * @param credentials The credentials that were sent.
-     * @param headers The names of the headers that were sent, in lower case.
+     * @param executions The number of executions by call.
+     * @param credentials The Authorization headers that were received.
+     * @param headers The names of the headers that were received, in lower case.
      */
     public record Counts(Map<String, Integer> executions, Set<String> credentials, Set<String> headers) {}
 
     /**
-     * The answer to a call.
+     * The response to a call.
      *
-     * @param call The call.
-     * @param path The path.
-     * @param executions The number of times the call took effect.
+     * @param executions The number of times that the call has taken effect.
      */
     public record Answer(String call, String path, int executions) {}
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/service/package-info.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/service/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of a plain service. */
+/** Emulation of a service other than a model engine. */
 package org.cranberrygauge.emulator.service;
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/EmulatorHttpServer.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/EmulatorHttpServer.java
@@ -13,30 +13,21 @@
 import org.cranberrygauge.protocol.JsonCodec;
 
 /**
- * The HTTP server of one stand-in.
+ * HTTP functions shared by the emulators.
  *
- * <p>Runs on one event loop, so that the stand-ins need no locks.
+ * <p>Each server runs on one event loop, so that emulators need no locks.
  */
 public final class EmulatorHttpServer {
 
-    /** The status of a successful answer. */
     private static final int OK = 200;
 
-    /** The status of an answer to a body that can't be read. */
     private static final int BAD_REQUEST = 400;
 
-    /** The largest body in bytes. */
     private static final long BODY_LIMIT_BYTES = 16L * 1024 * 1024;
 
-    /** Prevents instances. */
     private EmulatorHttpServer() {}
 
-    /**
-     * Creates a router that reads bodies.
-     *
-     * @param vertx The Vert.x instance.
-     * @return The router.
-     */
+    /** Creates a router that reads request bodies. */
     public static Router router(Vertx vertx) {
         Router router = Router.router(vertx);
         router.route().handler(BodyHandler.create(false).setBodyLimit(BODY_LIMIT_BYTES));
@@ -46,10 +37,7 @@
     /**
      * Starts a server.
      *
-     * @param vertx The Vert.x instance.
-     * @param router The router.
      * @param address The address; port 0 takes any free one.
-     * @return The server.
      */
     public static Future<HttpServer> listen(Vertx vertx, Router router, NetworkAddress address) {
         return vertx.createHttpServer(
@@ -58,24 +46,15 @@
                 .listen();
     }
 
-    /**
-     * Answers with a value as JSON.
-     *
-     * @param context The exchange.
-     * @param value The value.
-     */
-    public static void answer(RoutingContext context, Object value) {
-        answer(context, OK, value);
+    /** Responds with a value as JSON. */
+    public static void respond(RoutingContext context, Object value) {
+        respond(context, OK, value);
     }
 
     /**
-     * Answers with a status and a value as JSON.
-     *
-     * @param context The exchange.
-     * @param status The status.
-     * @param value The value.
+     * Responds with a status and a value as JSON; does nothing if the response has ended or the connection is closed.
      */
-    public static void answer(RoutingContext context, int status, Object value) {
+    public static void respond(RoutingContext context, int status, Object value) {
         if (context.response().ended() || context.response().closed()) {
             return;
         }
@@ -86,35 +65,24 @@
     }
 
     /**
-     * Reads the body as a value, or answers that it can't be read.
+     * Reads the body as a value, or responds with status 400 if it is invalid.
      *
-     * @param context The exchange.
-     * @param type The type.
-     * @param <T> The type.
-     * @return The value, or null after the answer was sent.
+     * @return The value, or null if a response has been sent.
      */
-    public static <T> T body(RoutingContext context, Class<T> type) {
+    public static <T> T readBody(RoutingContext context, Class<T> type) {
         try {
             return JsonCodec.read(String.valueOf(context.body().asString()), type);
         } catch (CranberrygaugeException exception) {
-            answer(context, BAD_REQUEST, new MessageBody(exception.getMessage()));
+            respond(context, BAD_REQUEST, new MessageBody(exception.getMessage()));
             return null;
         }
     }
 
-    /**
-     * Drops the connection of an exchange without an answer.
-     *
-     * @param context The exchange.
-     */
-    public static void drop(RoutingContext context) {
+    /** Closes the connection of a request without a response. */
+    public static void dropConnection(RoutingContext context) {
         context.request().connection().close();
     }
 
-    /**
-     * The body of an answer that tells what is wrong.
-     *
-     * @param message The message.
-     */
+    /** The body of a response that consists of a message. */
     public record MessageBody(String message) {}
 }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/FaultSwitch.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/FaultSwitch.java
@@ -1,9 +1,8 @@
 package org.cranberrygauge.emulator.web;
 
 /**
- * A fault that is switched by HTTP.
+ * A request to switch a fault.
  *
- * @param name The name of the fault.
- * @param amount The strength; 0 switches it off.
+ * @param amount The strength; 0 switches the fault off.
  */
 public record FaultSwitch(String name, double amount) {}
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/package-info.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/web/package-info.java
@@ -1,2 +1,2 @@
-/** What the stand-ins share of HTTP. */
+/** HTTP functions shared by the emulators. */
 package org.cranberrygauge.emulator.web;
--- a/cranberrygauge-emulator/src/test/java/org/cranberrygauge/emulator/engine/EmulatedEngineTest.java
+++ b/cranberrygauge-emulator/src/test/java/org/cranberrygauge/emulator/engine/EmulatedEngineTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void startsWaitingRequestsInTheOrderOfTheirPriority() throws Exception {
+    void startsQueuedRequestsInTheOrderOfTheirPriority() throws Exception {
         List<String> ended = Collections.synchronizedList(new ArrayList<>());
         CompletableFuture<Void> first = complete("first", 0, ended);
         awaitCounts("\"running\":1");
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void refusesAnOldFencingNumberAndTakesARepeatedOne() throws Exception {
+    void rejectsAnOldFencingNumberAndAcceptsARepeatedOne() throws Exception {
         assertThat(post("/role", "{\"models\":[\"other\"],\"fencingNumber\":5}").statusCode())
                 .isEqualTo(200);
         assertThat(post("/role", "{\"models\":[\"amber-large\"],\"fencingNumber\":4}")
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void reportsTheLoadOfSomeTimeAgo() throws Exception {
+    void reportsTheLoadWithALag() throws Exception {
         CompletableFuture<Void> running = complete("long", 0, new ArrayList<>());
         awaitCounts("\"running\":1");
         post("/faults", "{\"name\":\"LOAD_LAG_MILLIS\",\"amount\":600000}");
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void refusesAnUnknownFault() throws Exception {
+    void rejectsAnUnknownFault() throws Exception {
         assertThat(post("/faults", "{\"name\":\"NONE\",\"amount\":1}").statusCode())
                 .isEqualTo(400);
     }
--- a/cranberrygauge-emulator/src/test/java/org/cranberrygauge/emulator/platform/FleetStoreTest.java
+++ b/cranberrygauge-emulator/src/test/java/org/cranberrygauge/emulator/platform/FleetStoreTest.java
@@ -18,7 +18,7 @@
     private final FleetStore store = new FleetStore(true, 10, new WeightStore(100));
 
     @Test
-    void startsOrderedServersOneAfterAnotherThroughTheWeightStore() {
+    void startsOrderedServersOneAtATimeBecauseOfTheWeightStore() {
         store.register(POOL, server("one"));
         store.register(POOL, server("two"));
         store.order(0, new Order("order", 1, POOL, 2, 1_000));
@@ -29,18 +29,18 @@
     }
 
     @Test
-    void listsAServerThatWillLeave() {
+    void listsALeavingServer() {
         store.register(POOL, server("one"));
         store.order(0, new Order("order", 1, POOL, 1, 1_000));
 
-        store.leave("one", true);
+        store.setLeaving("one", true);
         assertThat(store.list(500).get(0).state()).isEqualTo(HostState.LEAVING);
-        store.leave("one", false);
+        store.setLeaving("one", false);
         assertThat(store.list(500).get(0).state()).isEqualTo(HostState.LIVE);
     }
 
     @Test
-    void refusesAnOldFencingNumber() {
+    void rejectsAnOldFencingNumber() {
         store.order(0, new Order("new", 2, POOL, 0, 1_000));
 
         assertThat(store.order(0, new Order("old", 1, POOL, 1, 1_000)).result()).isEqualTo("fenced");
