--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/WaitQueue.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/WaitQueue.java
@@ -6,55 +6,39 @@
 import java.util.Optional;
 
 /**
- * The requests that wait on this host until an engine has room for their prompts.
+ * The requests that are queued on this host until an engine has capacity for their prompts.
  *
- * <p>The most urgent goes first; of equal urgency, one that can still be on time goes before one that can't, and an earlier
- * one before a later one. A request is given up as soon as it could not end within its time. Used by one thread.
+ * <p>Order: by urgency; at equal urgency, requests that can still meet their target latency go before those that can't;
+ * then by arrival. A request expires as soon as it can no longer finish before its deadline. Not thread-safe.
  *
  * @param <T> The type of the requests.
  */
 public final class WaitQueue<T> {
 
-    /** The requests in order of arrival. */
+    /** In order of arrival. */
     private final List<Entry<T>> entries = new ArrayList<>();
 
-    /**
-     * Adds a request.
-     *
-     * @param entry The request.
-     */
     public void add(Entry<T> entry) {
         entries.add(entry);
     }
 
-    /**
-     * Removes a request.
-     *
-     * @param item The request.
-     */
     public void remove(T item) {
         entries.removeIf(entry -> entry.item() == item);
     }
 
-    /**
-     * Returns the number of requests that wait.
-     *
-     * @return The number.
-     */
     public int size() {
         return entries.size();
     }
 
     /**
-     * Returns the request that goes first, which stays in the line.
+     * Returns the next request without removing it, or empty if the queue is empty.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The request, or nothing if none waits.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public Optional<T> first(long nowMillis) {
+    public Optional<T> peek(long nowMillis) {
         Entry<T> best = null;
         for (Entry<T> entry : entries) {
-            if (best == null || goesBefore(nowMillis, entry, best)) {
+            if (best == null || precedes(nowMillis, entry, best)) {
                 best = entry;
             }
         }
@@ -62,33 +46,24 @@
     }
 
     /**
-     * Takes out the requests that are given up.
+     * Removes and returns the requests whose time in the queue is over.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The requests.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public List<T> takeGivenUp(long nowMillis) {
-        List<T> givenUp = new ArrayList<>();
+    public List<T> removeExpired(long nowMillis) {
+        List<T> expired = new ArrayList<>();
         Iterator<Entry<T>> iterator = entries.iterator();
         while (iterator.hasNext()) {
             Entry<T> entry = iterator.next();
             if (nowMillis >= entry.giveUpMillis()) {
-                givenUp.add(entry.item());
+                expired.add(entry.item());
                 iterator.remove();
             }
         }
-        return givenUp;
+        return expired;
     }
 
-    /**
-     * Tells whether a request goes before an earlier one.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param later The later request.
-     * @param earlier The earlier request.
-     * @return Whether the later one goes first.
-     */
-    private boolean goesBefore(long nowMillis, Entry<T> later, Entry<T> earlier) {
+    private boolean precedes(long nowMillis, Entry<T> later, Entry<T> earlier) {
         if (later.urgency() != earlier.urgency()) {
             return later.urgency() < earlier.urgency();
         }
@@ -96,22 +71,17 @@
     }
 
     /**
-     * A request that waits.
+     * A queued request.
      *
      * @param item The request.
      * @param urgency The urgency; 0 is the most urgent.
-     * @param onTimeMillis The monotonic time until which it can start and still be on time.
-     * @param giveUpMillis The monotonic time from which it can't end within its time.
+     * @param onTimeMillis The monotonic time until which the request can start and still meet its target latency, in
+     *     milliseconds.
+     * @param giveUpMillis The monotonic time at which the request expires, in milliseconds.
      * @param <T> The type of the request.
      */
     public record Entry<T>(T item, int urgency, long onTimeMillis, long giveUpMillis) {
 
-        /**
-         * Tells whether the request can still be on time.
-         *
-         * @param nowMillis The present monotonic time in milliseconds.
-         * @return Whether it can be on time.
-         */
         boolean isOnTime(long nowMillis) {
             return nowMillis <= onTimeMillis;
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests are taken. */
+/** Admission control: which requests are accepted, rejected or queued. */
 package org.cranberrygauge.proxy.admission;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.cranberrygauge.proxy.admission.RejectReason;
 import org.cranberrygauge.proxy.admission.RequestAdmission;
-import org.cranberrygauge.proxy.admission.RequestAdmission.Verdict;
+import org.cranberrygauge.proxy.admission.RequestAdmission.Decision;
 import org.cranberrygauge.proxy.configuration.ConfigurationView;
 import org.cranberrygauge.proxy.configuration.Pool;
 import org.cranberrygauge.proxy.configuration.Route;
@@ -104,12 +104,12 @@
             reject(now, request, reply, head, RejectReason.DRAINING);
             return;
         }
-        Verdict verdict = gate.decide(now, tools.time().wallMillis(), view, host, path(request), head.key());
-        if (verdict.rejection().isPresent()) {
-            reject(now, request, reply, head, verdict.rejection().get());
+        Decision decision = gate.decide(now, tools.time().wallMillis(), view, host, path(request), head.key());
+        if (decision.rejection().isPresent()) {
+            reject(now, request, reply, head, decision.rejection().get());
             return;
         }
-        Route route = verdict.route().orElseThrow();
+        Route route = decision.route().orElseThrow();
         Pool pool = view.configuration()
                 .orElseThrow()
                 .pools()
@@ -136,8 +136,8 @@
                     head,
                     route,
                     pool,
-                    verdict.customer(),
-                    verdict.urgency(),
+                    decision.customer(),
+                    decision.urgency(),
                     now,
                     now + wait);
             new Exchange(tools, taken, reply).start();
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -279,7 +279,7 @@
      *
      * @return Whether the request waits no more.
      */
-    boolean tryWaiting() {
+    boolean tryDispatch() {
         Optional<Choice> choice = choose(now());
         if (choice.isEmpty() || choice.get().crowded()) {
             return false;
@@ -290,7 +290,7 @@
     }
 
     /** Refuses the request, which has waited for room and is out of the line. */
-    void giveUpWaiting() {
+    void expireInQueue() {
         waiting = false;
         reject(RejectReason.BACKENDS_FULL);
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolWaitQueues.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolWaitQueues.java
@@ -32,11 +32,11 @@
      */
     public void advance(long nowMillis) {
         for (WaitQueue<Exchange> line : lines.values()) {
-            line.takeGivenUp(nowMillis).forEach(Exchange::giveUpWaiting);
-            Optional<Exchange> first = line.first(nowMillis);
-            while (first.isPresent() && first.get().tryWaiting()) {
+            line.removeExpired(nowMillis).forEach(Exchange::expireInQueue);
+            Optional<Exchange> first = line.peek(nowMillis);
+            while (first.isPresent() && first.get().tryDispatch()) {
                 line.remove(first.get());
-                first = line.first(nowMillis);
+                first = line.peek(nowMillis);
             }
         }
     }
