--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -237,7 +237,7 @@
         vertx.setPeriodic(PUBLISH_MILLIS, fired -> {
             placements.applyTo(loads);
             ownWork.set(loads.work());
-            loads.forgetUnlisted(board.backends());
+            loads.removeUnlisted(board.backends());
             publish(hostMetrics, lines.size());
         });
         return new IngressServer(vertx, new CallerHandler(tools, gate))
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
@@ -167,7 +167,7 @@
         crashes.own(now).forEach((fingerprint, count) -> counts.add(new CrashCount(fingerprint, count)));
         List<PartPlaced> parts = new ArrayList<>();
         placements
-                .toTell(now)
+                .recent(now)
                 .forEach(placed -> parts.add(new PartPlaced(
                         placed.incarnation(), placed.part().id(), placed.part().tokens())));
         sequence++;
@@ -196,7 +196,7 @@
         report.getCrashes().forEach(count -> counts.put(count.getFingerprint(), count.getCrashes()));
         crashes.takeOthers(report.getHost(), counts);
         report.getPlaced()
-                .forEach(placed -> placements.heard(
+                .forEach(placed -> placements.receive(
                         new PlacedPart(placed.getIncarnation(), new PromptPart(placed.getPart(), placed.getTokens()))));
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -128,7 +128,7 @@
     @Override
     public void streamEnd(int status, MultiMap headers) {
         begin(status, headers);
-        tools.load(request.pool(), attempt.backend()).noteSuccess();
+        tools.load(request.pool(), attempt.backend()).recordSuccess();
         reply.endStream();
         end("served", status);
     }
@@ -141,7 +141,7 @@
             failed(AttemptOutcome.SERVER_ERROR, "status " + answer.status());
             return;
         }
-        tools.load(request.pool(), attempt.backend()).noteSuccess();
+        tools.load(request.pool(), attempt.backend()).recordSuccess();
         if (history.streaming()) {
             cut("resumed_with_status");
             return;
@@ -157,7 +157,7 @@
         long now = now();
         Backend backend = attempt.backend();
         placement.end();
-        noteFailure(backend, outcome, now);
+        recordFailure(backend, outcome, now);
         history = history.withOutcome(outcome);
         long remaining = request.endMillis() - now;
         NextStep next = RetryPolicy.next(request.route(), history, outcome, remaining);
@@ -208,8 +208,8 @@
      * @param outcome How the attempt ended.
      * @param now The present monotonic time in milliseconds.
      */
-    private void noteFailure(Backend backend, AttemptOutcome outcome, long now) {
-        tools.load(request.pool(), backend).noteFailure(now, outcome != AttemptOutcome.NOT_CONNECTED);
+    private void recordFailure(Backend backend, AttemptOutcome outcome, long now) {
+        tools.load(request.pool(), backend).recordFailure(now, outcome != AttemptOutcome.NOT_CONNECTED);
         if (outcome == AttemptOutcome.BROKEN && !request.route().kind().streams()) {
             report.began();
         }
@@ -248,7 +248,7 @@
         if (choice.isEmpty()) {
             return false;
         }
-        if (choice.get().crowded() && history.sent() == 0) {
+        if (choice.get().saturated() && history.sent() == 0) {
             joinLine(choice.get());
             return true;
         }
@@ -268,7 +268,7 @@
         waiting = true;
         long tokens = tools.load(request.pool(), choice.backend())
                 .uncachedTokens(request.head().prompt());
-        long readMillis = (long) (tokens / BackendChooser.READ_TOKENS_PER_MILLI);
+        long readMillis = (long) (tokens / BackendChooser.PREFILL_TOKENS_PER_MILLI);
         tools.lines()
                 .of(request.pool().name())
                 .add(new Entry<>(this, request.urgency(), request.onTimeMillis() - readMillis, request.giveUpMillis()));
@@ -281,7 +281,7 @@
      */
     boolean tryDispatch() {
         Optional<Choice> choice = choose(now());
-        if (choice.isEmpty() || choice.get().crowded()) {
+        if (choice.isEmpty() || choice.get().saturated()) {
             return false;
         }
         waiting = false;
@@ -323,7 +323,7 @@
         report.chosen(choice);
         tried.add(backend.incarnation());
         placement = tools.load(request.pool(), backend).place(request.head().prompt());
-        tools.placements().placed(now, backend.incarnation(), request.head().prompt());
+        tools.placements().record(now, backend.incarnation(), request.head().prompt());
         attempt = new BackendAttempt(tools.dialect(), request, backend, this);
         attemptMillis = now;
         sent = false;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyState.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyState.java
@@ -20,7 +20,7 @@
     private final AtomicReference<BackendSnapshot> backends = new AtomicReference<>(BackendSnapshot.UNKNOWN);
 
     /** The work of the other hosts. */
-    private final AtomicReference<PeerLoads> peers = new AtomicReference<>(PeerLoads.ALONE);
+    private final AtomicReference<PeerLoads> peers = new AtomicReference<>(PeerLoads.NO_PEERS);
 
     /** The requests in progress. */
     private final AtomicInteger active = new AtomicInteger();
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendChooser.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendChooser.java
@@ -13,92 +13,89 @@
 /**
  * Chooses the backend server with the lowest predicted cost.
  *
- * <p>For an engine the cost is the time to the first event: the prompts that wait there, the part of this prompt that isn't
- * cached, the slowdown by requests that run, and the wait where slots or memory are short. Hosts agree on a home for each
- * shared prompt part without talking, and leave it once its load outweighs the reading it saves. Avoided backend servers are
- * chosen only if all others are. Used by one thread.
+ * <p>For an engine, the cost estimates the time to the first token: pending prefill work, the uncached part of this
+ * prompt, the slowdown by running requests, and queueing where slots or KV-cache memory are short. Rendezvous hashing
+ * of the shared prompt prefix gives all hosts the same ranking of engines without coordination; a request leaves the
+ * first-ranked engine once that engine's load outweighs the prefill that its cache saves. Backend servers in cool-down
+ * after failures are chosen only if all others are, too. Not thread-safe.
  */
 public final class BackendChooser {
 
-    /** The prompt tokens that an engine reads in a millisecond. */
-    public static final double READ_TOKENS_PER_MILLI = 38;
+    /** The prompt tokens that an engine processes in a millisecond. */
+    public static final double PREFILL_TOKENS_PER_MILLI = 38;
 
-    /** The time of a step of an idle engine, which makes one token of each request, in milliseconds. */
-    private static final double STEP_MILLIS = 5;
+    /** The duration of a decode step of an idle engine; a step produces one token for each request. */
+    private static final double DECODE_STEP_MILLIS = 5;
 
-    /** The time that each running request adds to a step, in milliseconds. */
-    private static final double STEP_MILLIS_PER_RUNNING = 0.15;
+    /** The time that each running request adds to a decode step. */
+    private static final double DECODE_STEP_MILLIS_PER_REQUEST = 0.15;
 
-    /** The time that reading prompts adds to a step of an engine that always reads, in milliseconds. */
-    private static final double READING_STEP_MILLIS = 108;
+    /** The time that prefill adds to a decode step of an engine that always has prompts to process. */
+    private static final double PREFILL_STEP_MILLIS = 108;
 
-    /** The prompt tokens of running requests at which an engine reads half of the time. */
-    private static final double HALF_READING_TOKENS = 30_000;
+    /** The prompt tokens of running requests at which an engine spends half of its time on prefill. */
+    private static final double HALF_PREFILL_TOKENS = 30_000;
 
     /** The prompt tokens of running requests above which an engine gets no more long prompts. */
-    private static final double CROWDED_TOKENS = 90_000;
+    private static final double SATURATION_TOKENS = 90_000;
 
-    /** The part of the time between the events of a request that counts as its cost. */
-    private static final double OUTPUT_PART = 0.1;
+    /** The weight in the cost of the time between the tokens of a request. */
+    private static final double DECODE_WEIGHT = 0.1;
 
-    /** The part of the time for which a long prompt holds up each short request beside it that counts as its cost. */
-    private static final double HOLD_UP_PART = 0.5;
+    /** The weight in the cost of the time for which a long prompt delays each short request on the same engine. */
+    private static final double PREFILL_INTERFERENCE_WEIGHT = 0.5;
 
-    /** The cost of an engine for long prompts to a short one, in milliseconds. */
-    private static final double LONG_LANE_MILLIS = 400;
+    /** The cost for a short prompt of an engine reserved for long prompts. */
+    private static final double LONG_PARTITION_PENALTY_MILLIS = 400;
 
-    /** The cost of an engine for short prompts to a long one, which would hold up all that run there, in milliseconds. */
-    private static final double SHORT_LANE_MILLIS = 5_000;
+    /**
+     * The cost for a long prompt of an engine reserved for short prompts, where it would delay all running requests.
+     */
+    private static final double SHORT_PARTITION_PENALTY_MILLIS = 5_000;
 
-    /** The wait for each request beyond the slots, in milliseconds. */
-    private static final double MILLIS_PER_QUEUED = 120;
+    /** The queueing time for each request beyond the slots. */
+    private static final double QUEUE_MILLIS_PER_REQUEST = 120;
 
-    /** The wait at an engine whose memory is short, in milliseconds. */
-    private static final double SHORT_MEMORY_MILLIS = 1_500;
+    /** The queueing time at an engine whose KV cache is full. */
+    private static final double FULL_CACHE_PENALTY_MILLIS = 1_500;
 
-    /** The part of the memory that requests in flight may fill. */
-    private static final double MEMORY_PART = 0.9;
+    /** The fraction of the KV cache that requests in flight may fill. */
+    private static final double USABLE_CACHE_FRACTION = 0.9;
 
-    /** The part of the uncached tokens that count at the home of the prompt. */
-    private static final double HOME_PART = 0.4;
+    /** The factor on the uncached tokens at the engine that is ranked first for the prompt. */
+    private static final double FIRST_AFFINITY_FACTOR = 0.4;
 
     /**
-     * The highest number of times that shared tokens count which an engine would read again. They count once more for each
-     * engine that comes before it among the homes of the prompt, so that only prompts in great demand spread.
+     * The maximum factor on shared tokens that an engine would have to process again. The factor is the engine's rank
+     * for the prompt, so that only prompts in high demand spread over several engines.
      */
-    private static final int MOST_TIMES_AGAIN = 10;
+    private static final int MAXIMUM_AFFINITY_RANK = 10;
 
-    /** The random part of the cost of short prompts, so that hosts with the same view of loads don't choose alike. */
-    private static final double SPREAD_PART = 0.5;
+    /**
+     * The random fraction added to the cost of short prompts, so that hosts with the same view of the load don't make
+     * the same choice.
+     */
+    private static final double JITTER_FRACTION = 0.5;
 
-    /** The cost of leaving the data centre, in milliseconds. */
-    private static final double OTHER_DATA_CENTRE_MILLIS = 25;
+    /** The cost of leaving the data centre. */
+    private static final double REMOTE_DATA_CENTRE_PENALTY_MILLIS = 25;
 
-    /** The cost of a plain service's backend server by the share of its places that are taken, in milliseconds. */
-    private static final double FULL_SERVICE_MILLIS = 200;
+    /** The cost of a backend server of a plain service with all slots in use; it is proportional to utilization. */
+    private static final double FULL_UTILIZATION_MILLIS = 200;
 
-    /** The cost of a backend server whose requests all fail, in milliseconds. */
-    private static final double ALL_FAIL_MILLIS = 4_000;
+    /** The cost of a backend server whose requests all fail; it is proportional to the failure rate. */
+    private static final double FAILURE_PENALTY_MILLIS = 4_000;
 
-    /** The cost of an avoided backend server, which exceeds all others, in milliseconds. */
-    private static final double AVOIDED_MILLIS = 1e7;
+    /** The cost of a backend server in cool-down, which exceeds all other costs together. */
+    private static final double COOLDOWN_PENALTY_MILLIS = 1e7;
 
-    /** The data centre of this host. */
     private final String dataCentre;
 
-    /** The loads by this host's own requests. */
+    /** The load caused by this host's own requests. */
     private final LoadTable loads;
 
-    /** The source of randomness. */
     private final RandomGenerator random;
 
-    /**
-     * Creates a chooser.
-     *
-     * @param dataCentre The data centre of this host.
-     * @param loads The loads by this host's own requests.
-     * @param random The source of randomness.
-     */
     public BackendChooser(String dataCentre, LoadTable loads, RandomGenerator random) {
         this.dataCentre = dataCentre;
         this.loads = loads;
@@ -106,15 +103,13 @@
     }
 
     /**
-     * Chooses a backend server.
+     * Chooses a backend server for an attempt.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param pool The pool.
-     * @param ready The backend servers of the pool that take new work.
-     * @param tried The incarnations that the request was sent to before.
-     * @param prompt The prompt.
-     * @param peers The work of the other hosts.
-     * @return The choice, or nothing if there is none left.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param ready The backend servers of the pool that accept new requests.
+     * @param tried The incarnations to which the request was sent before; they are excluded.
+     * @param peers The load caused by the other hosts.
+     * @return The choice, or empty if no backend server is left.
      */
     public Optional<Choice> choose(
             long nowMillis, Pool pool, List<Backend> ready, Set<String> tried, Prompt prompt, PeerLoads peers) {
@@ -135,130 +130,89 @@
         }
         return best == null
                 ? Optional.empty()
-                : Optional.of(new Choice(best, bestCost, isCrowded(pool, best, prompt, peers)));
+                : Optional.of(new Choice(best, bestCost, isSaturated(pool, best, prompt, peers)));
     }
 
     /**
-     * Tells whether an engine has no room for another long prompt.
-     *
-     * <p>An engine that reads most of the time makes tokens so slowly that no request ends within its time. The prompts of
-     * the requests that run tell how much of the time it reads.
-     *
-     * @param pool The pool.
-     * @param backend The engine.
-     * @param prompt The prompt.
-     * @param peers The work of the other hosts.
-     * @return Whether it has no room.
+     * Tells whether an engine has no capacity for another long prompt. An engine that spends most of its time on
+     * prefill decodes so slowly that no request finishes before its deadline; the prompts of the running requests tell
+     * how much of its time that is.
      */
-    private boolean isCrowded(Pool pool, Backend backend, Prompt prompt, PeerLoads peers) {
+    private boolean isSaturated(Pool pool, Backend backend, Prompt prompt, PeerLoads peers) {
         if (pool.engine().isEmpty() || EnginePartition.isShort(prompt)) {
             return false;
         }
         BackendLoad load = load(pool, backend);
         Work work = load.work().plus(peers.at(backend.incarnation()));
-        return work.heldTokens() > 0 && work.heldTokens() + load.uncachedTokens(prompt) > CROWDED_TOKENS;
+        return work.heldTokens() > 0 && work.heldTokens() + load.uncachedTokens(prompt) > SATURATION_TOKENS;
     }
 
-    /**
-     * Ranks the homes of a prompt.
-     *
-     * @param lane The engines that are meant for it.
-     * @param prompt The prompt.
-     * @return The engines, the first home first; empty if the prompt shares nothing.
-     */
-    private static List<Backend> homes(List<Backend> lane, Prompt prompt) {
+    /** Ranks the engines of a partition for a prompt; empty if the prompt shares no prefix. */
+    private static List<Backend> affinityRanking(List<Backend> partition, Prompt prompt) {
         String key = prompt.affinityKey();
-        return key.isEmpty() ? List.of() : RendezvousHash.ranked(key, lane, Backend::incarnation);
+        return key.isEmpty() ? List.of() : RendezvousHash.ranked(key, partition, Backend::incarnation);
     }
 
-    /**
-     * Returns what predicts the cost at each engine.
-     *
-     * @param pool The pool.
-     * @param ready The engines that take new work.
-     * @param prompt The prompt.
-     * @param peers The work of the other hosts.
-     * @return The prediction.
-     */
+    /** Returns the cost function for engines. */
     private ToDoubleFunction<Backend> engineCosts(Pool pool, List<Backend> ready, Prompt prompt, PeerLoads peers) {
-        List<Backend> lane = EnginePartition.split(ready).of(prompt);
-        List<Backend> homes = homes(lane, prompt);
+        List<Backend> partition = EnginePartition.split(ready).of(prompt);
+        List<Backend> affinityRanking = affinityRanking(partition, prompt);
         return backend -> {
-            int home = homes.indexOf(backend);
-            double cost = engineCost(pool, backend, prompt, peers, home < 0 ? MOST_TIMES_AGAIN : home);
+            int affinityRank = affinityRanking.indexOf(backend);
+            double cost =
+                    engineCost(pool, backend, prompt, peers, affinityRank < 0 ? MAXIMUM_AFFINITY_RANK : affinityRank);
             if (!EnginePartition.isShort(prompt)) {
-                return lane.contains(backend) ? cost : cost + SHORT_LANE_MILLIS;
+                return partition.contains(backend) ? cost : cost + SHORT_PARTITION_PENALTY_MILLIS;
             }
-            cost *= 1 + SPREAD_PART * random.nextDouble();
-            return lane.contains(backend) ? cost : cost + LONG_LANE_MILLIS;
+            cost *= 1 + JITTER_FRACTION * random.nextDouble();
+            return partition.contains(backend) ? cost : cost + LONG_PARTITION_PENALTY_MILLIS;
         };
     }
 
     /**
-     * Predicts the cost at an engine.
+     * Predicts the cost at an engine in milliseconds.
      *
-     * @param pool The pool.
-     * @param backend The engine.
-     * @param prompt The prompt.
-     * @param peers The work of the other hosts.
-     * @param home The place of the engine among the homes of the prompt, from 0.
-     * @return The cost in milliseconds.
+     * @param affinityRank The rank of the engine for the prompt, from 0.
      */
-    private double engineCost(Pool pool, Backend backend, Prompt prompt, PeerLoads peers, int home) {
+    private double engineCost(Pool pool, Backend backend, Prompt prompt, PeerLoads peers, int affinityRank) {
         BackendLoad load = load(pool, backend);
         Work work = load.work().plus(peers.at(backend.incarnation()));
-        double uncached = load.uncachedTokens(prompt) * (home == 0 ? HOME_PART : 1);
-        double reading = work.heldTokens() / (work.heldTokens() + HALF_READING_TOKENS);
-        double step = STEP_MILLIS + STEP_MILLIS_PER_RUNNING * work.running() + READING_STEP_MILLIS * reading;
-        double cost = (work.unreadTokens() + uncached) / READ_TOKENS_PER_MILLI;
-        cost += prompt.outputTokens() * step * OUTPUT_PART;
-        cost += load.uncachedSharedTokens(prompt) / READ_TOKENS_PER_MILLI * Math.min(MOST_TIMES_AGAIN, home);
+        double uncached = load.uncachedTokens(prompt) * (affinityRank == 0 ? FIRST_AFFINITY_FACTOR : 1);
+        double prefillShare = work.heldTokens() / (work.heldTokens() + HALF_PREFILL_TOKENS);
+        double step = DECODE_STEP_MILLIS
+                + DECODE_STEP_MILLIS_PER_REQUEST * work.running()
+                + PREFILL_STEP_MILLIS * prefillShare;
+        double cost = (work.unreadTokens() + uncached) / PREFILL_TOKENS_PER_MILLI;
+        cost += prompt.outputTokens() * step * DECODE_WEIGHT;
+        cost += load.uncachedSharedTokens(prompt)
+                / PREFILL_TOKENS_PER_MILLI
+                * Math.min(MAXIMUM_AFFINITY_RANK, affinityRank);
         if (!EnginePartition.isShort(prompt)) {
-            cost += work.shortRunning() * uncached / READ_TOKENS_PER_MILLI * HOLD_UP_PART;
+            cost += work.shortRunning() * uncached / PREFILL_TOKENS_PER_MILLI * PREFILL_INTERFERENCE_WEIGHT;
         }
-        cost += Math.max(0, work.running() + 1 - backend.slots()) * MILLIS_PER_QUEUED;
-        if (work.heldTokens() + uncached + prompt.outputTokens() > pool.memoryTokens() * MEMORY_PART) {
-            cost += SHORT_MEMORY_MILLIS;
+        cost += Math.max(0, work.running() + 1 - backend.slots()) * QUEUE_MILLIS_PER_REQUEST;
+        if (work.heldTokens() + uncached + prompt.outputTokens() > pool.memoryTokens() * USABLE_CACHE_FRACTION) {
+            cost += FULL_CACHE_PENALTY_MILLIS;
         }
         return cost;
     }
 
-    /**
-     * Predicts the cost at a backend server of a plain service.
-     *
-     * @param backend The backend server.
-     * @param peers The work of the other hosts.
-     * @return The cost in milliseconds.
-     */
+    /** Predicts the cost at a backend server of a plain service in milliseconds. */
     private double serviceCost(Backend backend, PeerLoads peers) {
         Work work = loads.of(backend.incarnation(), 0).work().plus(peers.at(backend.incarnation()));
-        return FULL_SERVICE_MILLIS * work.running() / Math.max(1, backend.slots());
+        return FULL_UTILIZATION_MILLIS * work.running() / Math.max(1, backend.slots());
     }
 
-    /**
-     * Predicts the cost that doesn't depend on the kind of pool.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param pool The pool.
-     * @param backend The backend server.
-     * @return The cost in milliseconds.
-     */
+    /** Predicts the part of the cost that applies to all kinds of pools, in milliseconds. */
     private double commonCost(long nowMillis, Pool pool, Backend backend) {
         BackendLoad load = load(pool, backend);
-        double cost = load.failureShare() * ALL_FAIL_MILLIS;
-        if (load.avoided(nowMillis)) {
-            cost += AVOIDED_MILLIS;
+        double cost = load.failureShare() * FAILURE_PENALTY_MILLIS;
+        if (load.isCoolingDown(nowMillis)) {
+            cost += COOLDOWN_PENALTY_MILLIS;
         }
-        return backend.dataCentre().equals(dataCentre) ? cost : cost + OTHER_DATA_CENTRE_MILLIS;
+        return backend.dataCentre().equals(dataCentre) ? cost : cost + REMOTE_DATA_CENTRE_PENALTY_MILLIS;
     }
 
-    /**
-     * Returns the load of a backend server.
-     *
-     * @param pool The pool.
-     * @param backend The backend server.
-     * @return The load.
-     */
     private BackendLoad load(Pool pool, Backend backend) {
         return loads.of(backend.incarnation(), pool.memoryTokens());
     }
@@ -266,9 +220,8 @@
     /**
      * A chosen backend server.
      *
-     * @param backend The backend server.
      * @param costMillis The predicted cost in milliseconds.
-     * @param crowded Whether it has no room for the prompt at present.
+     * @param saturated Whether it currently has no capacity for the prompt.
      */
-    public record Choice(Backend backend, double costMillis, boolean crowded) {}
+    public record Choice(Backend backend, double costMillis, boolean saturated) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendLoad.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/BackendLoad.java
@@ -4,70 +4,62 @@
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 
 /**
- * What this host knows of one start of a backend server from its own requests.
- *
- * <p>Used by one thread; the work is published as an immutable value.
+ * The load that this host's own requests cause at one incarnation of a backend server, and its recent failures. Not
+ * thread-safe; {@link #work()} returns an immutable value.
  */
 public final class BackendLoad {
 
-    /** The part of an engine's memory in which cached parts are expected to stay. */
-    private static final double CACHE_PART = 0.6;
+    /** The fraction of an engine's KV cache in which cached prompt parts are expected to stay. */
+    private static final double CACHE_FRACTION = 0.6;
 
-    /** The tokens remembered for a backend server whose memory isn't known. */
-    private static final long UNKNOWN_MEMORY_TOKENS = 500_000;
+    /** The capacity assumed for a backend server whose KV-cache size is unknown. */
+    private static final long DEFAULT_CACHE_TOKENS = 500_000;
 
-    /** The time for which a backend server is avoided after a first failure, in milliseconds. */
-    private static final long FIRST_PAUSE_MILLIS = 300;
+    /** The cool-down after a first failure; it doubles with each consecutive failure. */
+    private static final long INITIAL_COOLDOWN_MILLIS = 300;
 
-    /** The time for which a backend server is avoided that could not be reached, in milliseconds. */
-    private static final long UNREACHABLE_PAUSE_MILLIS = 1_500;
+    /** The cool-down after a first failure to connect. */
+    private static final long UNREACHABLE_COOLDOWN_MILLIS = 1_500;
 
-    /** The longest time for which a backend server is avoided, in milliseconds. */
-    private static final long LONGEST_PAUSE_MILLIS = 3_000;
+    private static final long MAXIMUM_COOLDOWN_MILLIS = 3_000;
 
-    /** The weight of a new result in the share of failures. */
-    private static final double NEW_RESULT_WEIGHT = 0.15;
+    /** The number of times that the cool-down doubles at most. */
+    private static final int MAXIMUM_DOUBLINGS = 4;
+
+    /** The weight of a new result in the moving average of failures. */
+    private static final double FAILURE_SHARE_SMOOTHING = 0.15;
 
-    /** The requests in flight. */
     private int running;
 
-    /** The uncached prompt tokens of requests that wait for their first event. */
+    /** The uncached prompt tokens of requests without a first event so far. */
     private long unreadTokens;
 
-    /** The tokens that requests in flight add to memory. */
+    /** The KV-cache tokens that requests in flight occupy. */
     private long heldTokens;
 
     /** The requests in flight with short prompts. */
     private int shortRunning;
 
-    /** The cached prompt parts. */
     private final CachedParts cached;
 
-    /** The failures in a row. */
-    private int failuresInRow;
+    private int consecutiveFailures;
 
-    /** The recent share of requests that failed, from 0 to 1. */
+    /** The moving average of failed requests, from 0 to 1. */
     private double failureShare;
 
-    /** The monotonic time until which the backend server is avoided. */
-    private long avoidUntilMillis;
+    private long cooldownUntilMillis;
 
     /**
      * Creates the load of an idle backend server.
      *
-     * @param memoryTokens The tokens that its memory holds; 0 if not known.
+     * @param memoryTokens The capacity of its KV cache in tokens; 0 if unknown.
      */
     BackendLoad(long memoryTokens) {
-        long memory = memoryTokens == 0 ? UNKNOWN_MEMORY_TOKENS : memoryTokens;
-        cached = new CachedParts((long) (memory * CACHE_PART));
+        long memory = memoryTokens == 0 ? DEFAULT_CACHE_TOKENS : memoryTokens;
+        cached = new CachedParts((long) (memory * CACHE_FRACTION));
     }
 
-    /**
-     * Takes a request that is sent.
-     *
-     * @param prompt The prompt.
-     * @return What the request adds, to be given back.
-     */
+    /** Adds a request that is about to be sent. The caller ends the returned placement when the request ends. */
     public Placement place(Prompt prompt) {
         long unread = uncachedTokens(prompt);
         long held = unread + prompt.outputTokens();
@@ -76,119 +68,80 @@
         heldTokens += held;
         boolean isShort = EnginePartition.isShort(prompt);
         shortRunning += isShort ? 1 : 0;
-        cached.note(prompt.parts());
+        cached.add(prompt.parts());
         return new Placement(this, unread, held, isShort);
     }
 
-    /**
-     * Returns the tokens of a prompt that would have to be read.
-     *
-     * @param prompt The prompt.
-     * @return The tokens.
-     */
+    /** Returns the tokens of a prompt that the engine would have to process. */
     public long uncachedTokens(Prompt prompt) {
         return Math.max(0, prompt.inputTokens() - cached.cachedTokens(prompt.parts()));
     }
 
-    /**
-     * Notes a prompt part that another host has sent here.
-     *
-     * @param part The part.
-     */
-    void notePart(PromptPart part) {
-        cached.note(List.of(part));
+    /** Records that another host has sent a prompt part to this backend server. */
+    void addCachedPart(PromptPart part) {
+        cached.add(List.of(part));
     }
 
-    /**
-     * Returns the tokens of a prompt's shared parts that would have to be read.
-     *
-     * @param prompt The prompt.
-     * @return The tokens.
-     */
+    /** Returns the tokens of a prompt's shared parts that the engine would have to process. */
     public long uncachedSharedTokens(Prompt prompt) {
         List<PromptPart> shared = prompt.sharedParts();
         long tokens = shared.stream().mapToLong(PromptPart::tokens).sum();
         return tokens - cached.cachedTokens(shared);
     }
 
-    /**
-     * Returns the work of this host.
-     *
-     * @return The work.
-     */
     public Work work() {
         return new Work(running, unreadTokens, heldTokens, shortRunning);
     }
 
-    /** Notes an answer that is no failure. */
-    public void noteSuccess() {
-        failuresInRow = 0;
-        failureShare *= 1 - NEW_RESULT_WEIGHT;
+    public void recordSuccess() {
+        consecutiveFailures = 0;
+        failureShare *= 1 - FAILURE_SHARE_SMOOTHING;
     }
 
     /**
-     * Notes a failure of the backend server itself.
+     * Records a failure of the backend server itself and starts or extends its cool-down.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param reached Whether a connection to it came about.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param connected Whether a connection was established.
      */
-    public void noteFailure(long nowMillis, boolean reached) {
-        failuresInRow++;
-        failureShare += NEW_RESULT_WEIGHT * (1 - failureShare);
-        long first = reached ? FIRST_PAUSE_MILLIS : UNREACHABLE_PAUSE_MILLIS;
-        long pause = first << Math.min(4, failuresInRow - 1);
-        avoidUntilMillis = nowMillis + Math.min(LONGEST_PAUSE_MILLIS, pause);
+    public void recordFailure(long nowMillis, boolean connected) {
+        consecutiveFailures++;
+        failureShare += FAILURE_SHARE_SMOOTHING * (1 - failureShare);
+        long initial = connected ? INITIAL_COOLDOWN_MILLIS : UNREACHABLE_COOLDOWN_MILLIS;
+        long cooldown = initial << Math.min(MAXIMUM_DOUBLINGS, consecutiveFailures - 1);
+        cooldownUntilMillis = nowMillis + Math.min(MAXIMUM_COOLDOWN_MILLIS, cooldown);
     }
 
     /**
-     * Tells whether the backend server is avoided while others can take the request.
+     * Tells whether the backend server should be skipped while others can serve the request.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return Whether it is avoided.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public boolean avoided(long nowMillis) {
-        return nowMillis < avoidUntilMillis;
+    public boolean isCoolingDown(long nowMillis) {
+        return nowMillis < cooldownUntilMillis;
     }
 
-    /**
-     * Returns the recent share of requests that failed.
-     *
-     * @return The share from 0 to 1.
-     */
+    /** Returns the moving average of failed requests, from 0 to 1. */
     public double failureShare() {
         return failureShare;
     }
 
     /**
-     * What a request in flight adds to a backend server's load; each part is given back once.
-     *
-     * <p>Used by one thread.
+     * The share of one request in flight in the load of a backend server. Each component is released exactly once. Not
+     * thread-safe.
      */
     public static final class Placement {
 
-        /** The load. */
         private final BackendLoad load;
 
-        /** The tokens still to be read. */
         private long unread;
 
-        /** The tokens held. */
         private final long held;
 
-        /** Whether the prompt is short. */
         private final boolean isShort;
 
-        /** Whether the request has ended. */
         private boolean ended;
 
-        /**
-         * Creates a placement.
-         *
-         * @param load The load.
-         * @param unread The tokens still to be read.
-         * @param held The tokens held.
-         * @param isShort Whether the prompt is short.
-         */
         private Placement(BackendLoad load, long unread, long held, boolean isShort) {
             this.load = load;
             this.unread = unread;
@@ -196,13 +149,13 @@
             this.isShort = isShort;
         }
 
-        /** Notes the first event, after which the prompt is read. */
+        /** Releases the prefill work once the first event has arrived. Idempotent. */
         public void started() {
             load.unreadTokens -= unread;
             unread = 0;
         }
 
-        /** Notes the end of the request. */
+        /** Releases the rest at the end of the request. Idempotent. */
         public void end() {
             if (ended) {
                 return;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/CachedParts.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/CachedParts.java
@@ -6,36 +6,25 @@
 import java.util.Map;
 
 /**
- * The prompt parts that an engine has probably cached, by what this host sent there.
+ * Estimates which prompt parts an engine has in its prefix cache, from the prompts that were sent to it.
  *
- * <p>Invariant: the parts remembered hold at most a set number of tokens; the least recently used yield. Used by one thread.
+ * <p>Invariant: the recorded parts hold at most a fixed number of tokens; the least recently used parts are evicted.
+ * Not thread-safe.
  */
 final class CachedParts {
 
-    /** The tokens by part, least recently used first. */
+    /** The tokens by part identifier, in order of access. */
     private final Map<String, Long> parts = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** The highest number of tokens remembered. */
     private final long capacityTokens;
 
-    /** The tokens remembered. */
     private long tokens;
 
-    /**
-     * Creates a memory.
-     *
-     * @param capacityTokens The highest number of tokens remembered.
-     */
     CachedParts(long capacityTokens) {
         this.capacityTokens = capacityTokens;
     }
 
-    /**
-     * Returns the tokens at the start of a prompt that are cached.
-     *
-     * @param prompt The parts of the prompt in order.
-     * @return The tokens of the cached parts before the first that isn't.
-     */
+    /** Returns the length in tokens of the longest cached prefix of a prompt, whose parts are given in order. */
     long cachedTokens(List<PromptPart> prompt) {
         long cached = 0;
         for (PromptPart part : prompt) {
@@ -47,15 +36,11 @@
         return cached;
     }
 
-    /**
-     * Notes that a prompt is read.
-     *
-     * @param prompt The parts of the prompt in order.
-     */
-    void note(List<PromptPart> prompt) {
+    /** Records that the engine processes a prompt, whose parts are given in order. */
+    void add(List<PromptPart> prompt) {
         for (PromptPart part : prompt) {
-            Long before = parts.put(part.id(), part.tokens());
-            tokens += part.tokens() - (before == null ? 0 : before);
+            Long previous = parts.put(part.id(), part.tokens());
+            tokens += part.tokens() - (previous == null ? 0 : previous);
         }
         Iterator<Map.Entry<String, Long>> oldest = parts.entrySet().iterator();
         while (tokens > capacityTokens && oldest.hasNext()) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/EnginePartition.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/EnginePartition.java
@@ -5,66 +5,49 @@
 import org.cranberrygauge.proxy.backend.Backend;
 
 /**
- * Splits the engines of a pool into those for short prompts and those for long ones.
+ * Partitions the engines of a pool into those for short prompts and those for long ones.
  *
- * <p>Reading a long prompt delays the tokens of all requests that run beside it, so that chats are kept away from it. All
- * hosts split alike without talking, and an engine that comes or goes moves few others. Immutable and safe for use by several
- * threads.
+ * <p>The prefill of a long prompt delays the tokens of all requests on the same engine, so that interactive chats are
+ * kept away from it. All hosts compute the same partition without coordination, and an engine that is added or removed
+ * moves few others. Immutable.
  *
- * @param shortPrompts The engines for short prompts; all if there are too few to split.
- * @param longPrompts The engines for long prompts; all if there are too few to split.
+ * @param shortPrompts The engines for short prompts; all engines if there are too few to partition.
+ * @param longPrompts The engines for long prompts; all engines if there are too few to partition.
  */
 public record EnginePartition(List<Backend> shortPrompts, List<Backend> longPrompts) {
 
-    /** The longest prompt that counts as short, in tokens; an engine reads that much in one step. */
+    /** The maximum length of a short prompt; an engine processes as many tokens in one step. */
     private static final long SHORT_PROMPT_TOKENS = 4_096;
 
-    /** The number of engines from which they are split. */
-    private static final int SPLIT_FROM = 3;
+    /** The number of engines from which a pool is partitioned. */
+    private static final int MINIMUM_ENGINES = 3;
 
-    /** The part of the engines that is for short prompts. */
-    private static final double SHORT_PART = 0.15;
+    /** The fraction of the engines that is reserved for short prompts. */
+    private static final double SHORT_PROMPT_FRACTION = 0.15;
 
-    /** The key by which engines are ranked. */
-    private static final String KEY = "short prompts";
+    /** The rendezvous-hashing key by which engines are ranked; it must be the same on all hosts. */
+    private static final String RANKING_KEY = "short prompts";
 
-    /** Copies the lists. */
     public EnginePartition {
         shortPrompts = List.copyOf(shortPrompts);
         longPrompts = List.copyOf(longPrompts);
     }
 
-    /**
-     * Splits engines.
-     *
-     * @param ready The engines that take new work.
-     * @return The lanes.
-     */
+    /** Partitions the engines that accept new requests. */
     public static EnginePartition split(List<Backend> ready) {
-        if (ready.size() < SPLIT_FROM) {
+        if (ready.size() < MINIMUM_ENGINES) {
             return new EnginePartition(ready, ready);
         }
-        int number = (int) Math.ceil(ready.size() * SHORT_PART);
-        List<Backend> ranked = RendezvousHash.ranked(KEY, ready, Backend::incarnation);
-        return new EnginePartition(ranked.subList(0, number), ranked.subList(number, ranked.size()));
+        int shortCount = (int) Math.ceil(ready.size() * SHORT_PROMPT_FRACTION);
+        List<Backend> ranked = RendezvousHash.ranked(RANKING_KEY, ready, Backend::incarnation);
+        return new EnginePartition(ranked.subList(0, shortCount), ranked.subList(shortCount, ranked.size()));
     }
 
-    /**
-     * Tells whether a prompt is short.
-     *
-     * @param prompt The prompt.
-     * @return Whether it is short.
-     */
     public static boolean isShort(Prompt prompt) {
         return prompt.inputTokens() <= SHORT_PROMPT_TOKENS;
     }
 
-    /**
-     * Returns the engines that are meant for a prompt.
-     *
-     * @param prompt The prompt.
-     * @return The engines.
-     */
+    /** Returns the engines that are meant for a prompt of this length. */
     public List<Backend> of(Prompt prompt) {
         return isShort(prompt) ? shortPrompts : longPrompts;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/LoadTable.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/LoadTable.java
@@ -5,53 +5,34 @@
 import org.cranberrygauge.proxy.backend.BackendSnapshot;
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 
-/**
- * The loads of all backend servers that this host sends requests to.
- *
- * <p>Used by one thread.
- */
+/** The load that this host's own requests cause, by incarnation of a backend server. Not thread-safe. */
 public final class LoadTable {
 
-    /** The loads by incarnation. */
     private final Map<String, BackendLoad> loads = new HashMap<>();
 
     /**
-     * Returns the load of a backend server.
+     * Returns the load of a backend server and creates it if needed.
      *
-     * @param incarnation The incarnation of the backend server.
-     * @param memoryTokens The tokens that its memory holds; 0 if not known.
-     * @return The load.
+     * @param memoryTokens The capacity of the KV cache in tokens; 0 if unknown.
      */
     public BackendLoad of(String incarnation, long memoryTokens) {
         return loads.computeIfAbsent(incarnation, name -> new BackendLoad(memoryTokens));
     }
 
-    /**
-     * Notes that another host has sent a prompt part to an engine.
-     *
-     * @param placed The part and the engine.
-     */
-    void notePart(PlacedPart placed) {
+    /** Records that another host has sent a prompt part to an engine; ignored for engines without an entry. */
+    void addCachedPart(PlacedPart placed) {
         BackendLoad load = loads.get(placed.incarnation());
         if (load != null) {
-            load.notePart(placed.part());
+            load.addCachedPart(placed.part());
         }
     }
 
-    /**
-     * Forgets idle backend servers that are no longer listed.
-     *
-     * @param catalogue The backend servers that are listed.
-     */
-    public void forgetUnlisted(BackendSnapshot catalogue) {
+    /** Removes the entries of backend servers that are idle and no longer listed. */
+    public void removeUnlisted(BackendSnapshot catalogue) {
         loads.entrySet().removeIf(entry -> entry.getValue().work().running() == 0 && !catalogue.lists(entry.getKey()));
     }
 
-    /**
-     * Returns the work of this host at each backend server that has any.
-     *
-     * @return The work by incarnation.
-     */
+    /** Returns the work of this host by incarnation, for backend servers that have any. */
     public Map<String, Work> work() {
         Map<String, Work> work = new HashMap<>();
         loads.forEach((incarnation, load) -> {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/PeerLoads.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/PeerLoads.java
@@ -3,50 +3,36 @@
 import java.util.Map;
 
 /**
- * The work that the other hosts have at backend servers, as they last said.
+ * The load that the other hosts cause at backend servers, by their last reports. Immutable.
  *
  * @param byBackend The work by incarnation of the backend server.
- * @param hosts The number of hosts that take requests, this one included.
+ * @param hosts The number of hosts that accept requests, including this one.
  */
 public record PeerLoads(Map<String, Work> byBackend, int hosts) {
 
-    /** No other hosts are known. */
-    public static final PeerLoads ALONE = new PeerLoads(Map.of(), 1);
+    public static final PeerLoads NO_PEERS = new PeerLoads(Map.of(), 1);
 
-    /** Copies the map. */
     public PeerLoads {
         byBackend = Map.copyOf(byBackend);
     }
 
-    /**
-     * Returns the work of the other hosts at a backend server.
-     *
-     * @param incarnation The incarnation of the backend server.
-     * @return The work.
-     */
     public Work at(String incarnation) {
         return byBackend.getOrDefault(incarnation, Work.NONE);
     }
 
     /**
-     * Work at a backend server.
+     * The requests in flight at a backend server.
      *
-     * @param running The requests in flight.
-     * @param unreadTokens The prompt tokens of requests that wait for their first event.
-     * @param heldTokens The tokens that requests in flight add to memory.
-     * @param shortRunning The requests in flight with short prompts.
+     * @param running The number of requests.
+     * @param unreadTokens The uncached prompt tokens of requests without a first event so far.
+     * @param heldTokens The KV-cache tokens that the requests occupy.
+     * @param shortRunning The number of requests with short prompts.
      */
     public record Work(int running, long unreadTokens, long heldTokens, int shortRunning) {
 
-        /** No work. */
         public static final Work NONE = new Work(0, 0, 0, 0);
 
-        /**
-         * Adds work.
-         *
-         * @param other The other work.
-         * @return The sum.
-         */
+        /** Returns the sum of this work and another, component by component. */
         public Work plus(Work other) {
             return new Work(
                     running + other.running,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/PlacementExchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/PlacementExchange.java
@@ -8,88 +8,72 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Passes on between hosts which engine has read which prompt part.
+ * Shares between hosts which engine has processed which prompt part.
  *
- * <p>What this host placed is told for a short time, in several reports, since one may be lost. Invariant: a bounded number
- * of parts is kept each way. Safe for use by several threads.
+ * <p>A local placement is included in several consecutive reports, since a report may be lost. Invariant: the number of
+ * buffered placements is bounded in both directions. Thread-safe.
  */
 public final class PlacementExchange {
 
-    /** The shortest part that is told, in tokens; to read a shorter one again costs little. */
-    private static final long SHORTEST_TOKENS = 512;
+    /** The minimum length of a part that is reported; processing a shorter one again is cheap. */
+    private static final long MINIMUM_PART_TOKENS = 512;
 
-    /** The time for which a placement is told, in milliseconds. */
-    private static final long TOLD_MILLIS = 600;
+    /** The time for which a placement is reported. */
+    private static final long REPORTING_MILLIS = 600;
 
-    /** The placements that are kept each way. */
+    /** The maximum number of buffered placements in each direction. */
     private static final int CAPACITY = 400;
 
-    /** The placements of this host, oldest first. */
-    private final Deque<Told> own = new ArrayDeque<>();
+    private final Deque<RecentPlacement> local = new ArrayDeque<>();
 
-    /** The placements of other hosts that the request path has not taken yet. */
-    private final Queue<PlacedPart> heard = new ConcurrentLinkedQueue<>();
+    /** The placements of other hosts that are not applied yet. */
+    private final Queue<PlacedPart> received = new ConcurrentLinkedQueue<>();
 
     /**
-     * Notes that this host sends a prompt to an engine.
+     * Records that this host sends a prompt to an engine.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      * @param incarnation The incarnation of the engine.
-     * @param prompt The prompt.
      */
-    public synchronized void placed(long nowMillis, String incarnation, Prompt prompt) {
+    public synchronized void record(long nowMillis, String incarnation, Prompt prompt) {
         for (PromptPart part : prompt.sharedParts()) {
-            if (part.tokens() >= SHORTEST_TOKENS) {
-                own.addLast(new Told(nowMillis, new PlacedPart(incarnation, part)));
+            if (part.tokens() >= MINIMUM_PART_TOKENS) {
+                local.addLast(new RecentPlacement(nowMillis, new PlacedPart(incarnation, part)));
             }
         }
-        while (own.size() > CAPACITY) {
-            own.removeFirst();
+        while (local.size() > CAPACITY) {
+            local.removeFirst();
         }
     }
 
     /**
-     * Returns the placements of this host that are still told.
+     * Returns the local placements that are due for the next report.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The placements.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public synchronized List<PlacedPart> toTell(long nowMillis) {
-        while (!own.isEmpty() && nowMillis - own.peekFirst().atMillis() > TOLD_MILLIS) {
-            own.removeFirst();
+    public synchronized List<PlacedPart> recent(long nowMillis) {
+        while (!local.isEmpty() && nowMillis - local.peekFirst().atMillis() > REPORTING_MILLIS) {
+            local.removeFirst();
         }
-        List<PlacedPart> told = new ArrayList<>();
-        own.forEach(entry -> told.add(entry.placed()));
-        return told;
+        List<PlacedPart> recentParts = new ArrayList<>();
+        local.forEach(entry -> recentParts.add(entry.placed()));
+        return recentParts;
     }
 
-    /**
-     * Takes a placement of another host.
-     *
-     * @param placed The placement.
-     */
-    public void heard(PlacedPart placed) {
-        if (heard.size() < CAPACITY) {
-            heard.add(placed);
+    /** Buffers a placement of another host; dropped if the buffer is full. */
+    public void receive(PlacedPart placed) {
+        if (received.size() < CAPACITY) {
+            received.add(placed);
         }
     }
 
-    /**
-     * Gives the placements of other hosts to the loads.
-     *
-     * @param loads The loads.
-     */
+    /** Adds the buffered placements of other hosts to the load table. */
     public void applyTo(LoadTable loads) {
-        for (PlacedPart placed = heard.poll(); placed != null; placed = heard.poll()) {
-            loads.notePart(placed);
+        for (PlacedPart placed = received.poll(); placed != null; placed = received.poll()) {
+            loads.addCachedPart(placed);
         }
     }
 
-    /**
-     * A placement of this host.
-     *
-     * @param atMillis The monotonic time in milliseconds.
-     * @param placed The placement.
-     */
-    private record Told(long atMillis, PlacedPart placed) {}
+    /** A local placement with the monotonic time at which it was recorded. */
+    private record RecentPlacement(long atMillis, PlacedPart placed) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which backend server runs a request. */
+/** Selection of the backend server that runs a request. */
 package org.cranberrygauge.proxy.routing;
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendChooserTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendChooserTest.java
@@ -16,7 +16,7 @@
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 import org.junit.jupiter.api.Test;
 
-/** Each test names the load pattern that it answers. */
+/** Each test guards the choice for one load pattern. */
 class BackendChooserTest {
 
     private static final long MEMORY = 500_000;
@@ -28,79 +28,79 @@
     private final List<Backend> engines = engines(8);
 
     @Test
-    void hostsThatDoNotTalkSendADocumentToTheSameEngine() {
+    void hostsSendADocumentToTheSameEngineWithoutCoordination() {
         BackendChooser other = new BackendChooser("east-a", new LoadTable(), new SplittableRandom(2));
         for (int document = 0; document < 30; document++) {
             Prompt prompt = ProxyFixtures.study("document-" + document);
-            assertThat(choose(chooser, prompt, PeerLoads.ALONE).backend())
-                    .isEqualTo(choose(other, prompt, PeerLoads.ALONE).backend());
+            assertThat(choose(chooser, prompt, PeerLoads.NO_PEERS).backend())
+                    .isEqualTo(choose(other, prompt, PeerLoads.NO_PEERS).backend());
         }
     }
 
     @Test
     void aDocumentStaysWhereItIsCachedWhileThatEngineIsModeratelyLoaded() {
         Prompt prompt = ProxyFixtures.study("document");
-        Backend home = choose(chooser, prompt, PeerLoads.ALONE).backend();
-        PeerLoads busy = new PeerLoads(Map.of(home.incarnation(), new Work(6, 10_000, 20_000, 0)), 4);
-        loads.of(home.incarnation(), MEMORY).place(prompt).end();
-        assertThat(choose(chooser, prompt, busy).backend()).isEqualTo(home);
+        Backend preferred = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
+        PeerLoads busy = new PeerLoads(Map.of(preferred.incarnation(), new Work(6, 10_000, 20_000, 0)), 4);
+        loads.of(preferred.incarnation(), MEMORY).place(prompt).end();
+        assertThat(choose(chooser, prompt, busy).backend()).isEqualTo(preferred);
     }
 
     @Test
-    void aHotDocumentSpreadsOnceItsEngineIsOverloaded() {
+    void aDocumentSpreadsOnceItsEngineIsOverloaded() {
         Prompt prompt = ProxyFixtures.study("document");
-        Backend home = choose(chooser, prompt, PeerLoads.ALONE).backend();
-        loads.of(home.incarnation(), MEMORY).place(prompt).end();
-        PeerLoads overloaded = new PeerLoads(Map.of(home.incarnation(), new Work(40, 200_000, 400_000, 0)), 4);
-        assertThat(choose(chooser, prompt, overloaded).backend()).isNotEqualTo(home);
+        Backend preferred = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
+        loads.of(preferred.incarnation(), MEMORY).place(prompt).end();
+        PeerLoads overloaded = new PeerLoads(Map.of(preferred.incarnation(), new Work(40, 200_000, 400_000, 0)), 4);
+        assertThat(choose(chooser, prompt, overloaded).backend()).isNotEqualTo(preferred);
     }
 
     @Test
-    void whatAnotherHostSentCountsAsCached() {
+    void aPartThatAnotherHostSentCountsAsCached() {
         Prompt prompt = ProxyFixtures.study("document");
-        Backend away = EnginePartition.split(engines).longPrompts().stream()
-                .filter(engine ->
-                        !engine.equals(choose(chooser, prompt, PeerLoads.ALONE).backend()))
+        Backend other = EnginePartition.split(engines).longPrompts().stream()
+                .filter(engine -> !engine.equals(
+                        choose(chooser, prompt, PeerLoads.NO_PEERS).backend()))
                 .findFirst()
                 .orElseThrow();
-        loads.of(away.incarnation(), MEMORY);
-        loads.notePart(new PlacedPart(away.incarnation(), prompt.parts().get(0)));
-        assertThat(choose(chooser, prompt, PeerLoads.ALONE).backend()).isEqualTo(away);
+        loads.of(other.incarnation(), MEMORY);
+        loads.addCachedPart(new PlacedPart(other.incarnation(), prompt.parts().get(0)));
+        assertThat(choose(chooser, prompt, PeerLoads.NO_PEERS).backend()).isEqualTo(other);
     }
 
     @Test
-    void chatsAvoidEnginesThatReadLongPrompts() {
+    void shortPromptsAvoidEnginesWithLongPrompts() {
         Map<String, Work> work = new HashMap<>();
-        EnginePartition lanes = EnginePartition.split(engines);
-        lanes.longPrompts().forEach(engine -> work.put(engine.incarnation(), new Work(8, 30_000, 60_000, 0)));
-        lanes.shortPrompts().forEach(engine -> work.put(engine.incarnation(), new Work(12, 1_000, 15_000, 12)));
+        EnginePartition partition = EnginePartition.split(engines);
+        partition.longPrompts().forEach(engine -> work.put(engine.incarnation(), new Work(8, 30_000, 60_000, 0)));
+        partition.shortPrompts().forEach(engine -> work.put(engine.incarnation(), new Work(12, 1_000, 15_000, 12)));
         PeerLoads peers = new PeerLoads(work, 4);
         for (int session = 0; session < 20; session++) {
-            assertThat(lanes.shortPrompts())
+            assertThat(partition.shortPrompts())
                     .contains(choose(chooser, ProxyFixtures.chat("session-" + session), peers)
                             .backend());
         }
     }
 
     @Test
-    void studiesAndChatsGoToEnginesOfTheirOwnAlsoWithoutAnyLoad() {
-        EnginePartition lanes = EnginePartition.split(engines);
+    void longAndShortPromptsAreSeparatedEvenWithoutLoad() {
+        EnginePartition partition = EnginePartition.split(engines);
         for (int number = 0; number < 40; number++) {
-            assertThat(lanes.longPrompts())
-                    .contains(choose(chooser, ProxyFixtures.study("document-" + number), PeerLoads.ALONE)
+            assertThat(partition.longPrompts())
+                    .contains(choose(chooser, ProxyFixtures.study("document-" + number), PeerLoads.NO_PEERS)
                             .backend());
-            assertThat(lanes.shortPrompts())
-                    .contains(choose(chooser, ProxyFixtures.chat("session-" + number), PeerLoads.ALONE)
+            assertThat(partition.shortPrompts())
+                    .contains(choose(chooser, ProxyFixtures.chat("session-" + number), PeerLoads.NO_PEERS)
                             .backend());
         }
     }
 
     @Test
-    void aDocumentInGreatDemandSpreadsOverFewEngines() {
+    void aDocumentInHighDemandSpreadsOverFewEngines() {
         Prompt prompt = ProxyFixtures.study("document");
         Set<Backend> used = new HashSet<>();
         for (int number = 0; number < 40; number++) {
-            Backend chosen = choose(chooser, prompt, PeerLoads.ALONE).backend();
+            Backend chosen = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
             loads.of(chosen.incarnation(), MEMORY).place(prompt);
             used.add(chosen);
         }
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void hostsWithTheSameOldViewOfLoadsSpreadABurstOfChats() {
+    void hostsWithTheSameStaleViewOfTheLoadSpreadABurstOfShortPrompts() {
         List<Backend> many = engines(40);
         Map<String, Work> work = new HashMap<>();
         for (int index = 0; index < many.size(); index++) {
@@ -135,28 +135,29 @@
     }
 
     @Test
-    void aBurstOfStudiesWaitsOnceAllEnginesReadMostOfTheTime() {
+    void longPromptsAreQueuedOnceAllEnginesAreSaturated() {
         Map<String, Work> work = new HashMap<>();
         engines.forEach(engine -> work.put(engine.incarnation(), new Work(10, 40_000, 89_000, 0)));
         PeerLoads full = new PeerLoads(work, 4);
-        assertThat(choose(chooser, ProxyFixtures.study("document"), full).crowded())
+        assertThat(choose(chooser, ProxyFixtures.study("document"), full).saturated())
                 .isTrue();
-        assertThat(choose(chooser, ProxyFixtures.chat("session"), full).crowded())
+        assertThat(choose(chooser, ProxyFixtures.chat("session"), full).saturated())
                 .isFalse();
-        assertThat(choose(chooser, ProxyFixtures.study("document"), PeerLoads.ALONE)
-                        .crowded())
+        assertThat(choose(chooser, ProxyFixtures.study("document"), PeerLoads.NO_PEERS)
+                        .saturated())
                 .isFalse();
     }
 
     @Test
-    void anEngineThatFailsIsAvoidedWhileOthersAreThereAndUsedIfNoneIs() {
+    void anEngineInCooldownIsUsedOnlyIfThereIsNoOther() {
         Prompt prompt = ProxyFixtures.study("document");
-        Backend home = choose(chooser, prompt, PeerLoads.ALONE).backend();
-        loads.of(home.incarnation(), MEMORY).noteFailure(1_000, true);
-        assertThat(choose(chooser, prompt, PeerLoads.ALONE).backend()).isNotEqualTo(home);
-        assertThat(chooser.choose(1_000, ProxyFixtures.ENGINES, List.of(home), Set.of(), prompt, PeerLoads.ALONE)
+        Backend preferred = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
+        loads.of(preferred.incarnation(), MEMORY).recordFailure(1_000, true);
+        assertThat(choose(chooser, prompt, PeerLoads.NO_PEERS).backend()).isNotEqualTo(preferred);
+        assertThat(chooser.choose(
+                                1_000, ProxyFixtures.ENGINES, List.of(preferred), Set.of(), prompt, PeerLoads.NO_PEERS)
                         .map(Choice::backend))
-                .contains(home);
+                .contains(preferred);
     }
 
     @Test
@@ -164,23 +165,23 @@
         Set<String> tried = new HashSet<>();
         for (int round = 0; round < engines.size(); round++) {
             tried.add(chooser.choose(
-                            1_000, ProxyFixtures.ENGINES, engines, tried, ProxyFixtures.chat("s"), PeerLoads.ALONE)
+                            1_000, ProxyFixtures.ENGINES, engines, tried, ProxyFixtures.chat("s"), PeerLoads.NO_PEERS)
                     .orElseThrow()
                     .backend()
                     .incarnation());
         }
         assertThat(tried).hasSize(engines.size());
         assertThat(chooser.choose(
-                        1_000, ProxyFixtures.ENGINES, engines, tried, ProxyFixtures.chat("s"), PeerLoads.ALONE))
+                        1_000, ProxyFixtures.ENGINES, engines, tried, ProxyFixtures.chat("s"), PeerLoads.NO_PEERS))
                 .isEmpty();
     }
 
     @Test
-    void aPlainServiceIsUsedEvenlyAndInItsOwnDataCentreFirst() {
+    void aPlainServicePrefersItsOwnDataCentreUntilItIsBusy() {
         Backend near = ProxyFixtures.backend("near", "ledger", "east-a", false, Supply.REGULAR);
         Backend far = ProxyFixtures.backend("far", "ledger", "east-b", false, Supply.REGULAR);
         List<Backend> both = List.of(far, near);
-        assertThat(chooser.choose(1_000, ProxyFixtures.LEDGER, both, Set.of(), Prompt.NONE, PeerLoads.ALONE)
+        assertThat(chooser.choose(1_000, ProxyFixtures.LEDGER, both, Set.of(), Prompt.NONE, PeerLoads.NO_PEERS)
                         .map(Choice::backend))
                 .contains(near);
         PeerLoads busy = new PeerLoads(Map.of(near.incarnation(), new Work(20, 0, 0, 20)), 4);
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendLoadTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendLoadTest.java
@@ -13,7 +13,7 @@
     private final BackendLoad load = new BackendLoad(100_000);
 
     @Test
-    void givesBackWhatARequestAddedExactlyOnce() {
+    void releasesTheLoadOfARequestExactlyOnce() {
         Placement placement = load.place(ProxyFixtures.study("d"));
         assertThat(load.work()).isEqualTo(new Work(1, 17_000, 17_120, 0));
         placement.started();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void countsOnlyTheUncachedPartOfAPromptReadBefore() {
+    void countsOnlyUncachedTokensOfAPromptWithACachedPrefix() {
         load.place(new Prompt(17_000, 0, List.of(new PromptPart("d", 13_300), new PromptPart("x", 3_700))))
                 .end();
         Prompt next = new Prompt(17_000, 0, List.of(new PromptPart("d", 13_300), new PromptPart("y", 3_700)));
@@ -34,30 +34,30 @@
     }
 
     @Test
-    void forgetsTheLeastRecentlyUsedPartWhenMemoryIsFull() {
+    void evictsTheLeastRecentlyUsedPartWhenTheCacheIsFull() {
         for (int document = 0; document < 6; document++) {
-            load.notePart(new PromptPart("document-" + document, 13_300));
+            load.addCachedPart(new PromptPart("document-" + document, 13_300));
         }
         assertThat(load.uncachedSharedTokens(ProxyFixtures.study("document-0"))).isEqualTo(13_300);
         assertThat(load.uncachedSharedTokens(ProxyFixtures.study("document-5"))).isZero();
     }
 
     @Test
-    void isAvoidedUntilItsEntryLapsesWhenItCannotBeReached() {
-        load.noteFailure(0, false);
-        assertThat(load.avoided(1_499)).isTrue();
-        assertThat(load.avoided(1_500)).isFalse();
+    void coolsDownLongerWhenItCannotBeReached() {
+        load.recordFailure(0, false);
+        assertThat(load.isCoolingDown(1_499)).isTrue();
+        assertThat(load.isCoolingDown(1_500)).isFalse();
     }
 
     @Test
-    void isAvoidedLongerAfterMoreFailuresInARowAndNotAfterASuccess() {
-        load.noteFailure(0, true);
-        assertThat(load.avoided(299)).isTrue();
-        assertThat(load.avoided(300)).isFalse();
-        load.noteFailure(1_000, true);
-        assertThat(load.avoided(1_599)).isTrue();
-        load.noteSuccess();
-        load.noteFailure(5_000, true);
-        assertThat(load.avoided(5_300)).isFalse();
+    void cooldownGrowsWithConsecutiveFailuresAndASuccessResetsIt() {
+        load.recordFailure(0, true);
+        assertThat(load.isCoolingDown(299)).isTrue();
+        assertThat(load.isCoolingDown(300)).isFalse();
+        load.recordFailure(1_000, true);
+        assertThat(load.isCoolingDown(1_599)).isTrue();
+        load.recordSuccess();
+        load.recordFailure(5_000, true);
+        assertThat(load.isCoolingDown(5_300)).isFalse();
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/EnginePartitionTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/EnginePartitionTest.java
@@ -10,26 +10,26 @@
 import org.cranberrygauge.proxy.backend.Backend;
 import org.junit.jupiter.api.Test;
 
-/** Answers the pattern of chats beside studies whose prompts hold up every step of an engine. */
+/** Guards against long prompts whose prefill delays every decode step of the short requests on the same engine. */
 class EnginePartitionTest {
 
     @Test
-    void aPartOfTheEnginesIsForShortPromptsAndNoneIsInBothLanes() {
-        EnginePartition lanes = EnginePartition.split(engines(8));
-        assertThat(lanes.shortPrompts()).hasSize(2);
-        assertThat(lanes.longPrompts()).hasSize(6).doesNotContainAnyElementsOf(lanes.shortPrompts());
+    void someEnginesAreForShortPromptsAndNoneIsForBothKinds() {
+        EnginePartition partition = EnginePartition.split(engines(8));
+        assertThat(partition.shortPrompts()).hasSize(2);
+        assertThat(partition.longPrompts()).hasSize(6).doesNotContainAnyElementsOf(partition.shortPrompts());
     }
 
     @Test
-    void allHostsSplitAlikeWhateverTheOrder() {
+    void thePartitionDoesNotDependOnTheOrderOfEngines() {
         List<Backend> engines = engines(10);
-        EnginePartition lanes = EnginePartition.split(engines);
+        EnginePartition partition = EnginePartition.split(engines);
         Collections.shuffle(engines, new Random(3));
-        assertThat(EnginePartition.split(engines)).isEqualTo(lanes);
+        assertThat(EnginePartition.split(engines)).isEqualTo(partition);
     }
 
     @Test
-    void anEngineThatGoesMovesFewOthers() {
+    void removingAnEngineMovesFewOthers() {
         List<Backend> engines = engines(12);
         List<Backend> before = EnginePartition.split(engines).shortPrompts();
         engines.remove(EnginePartition.split(engines).longPrompts().get(0));
@@ -38,13 +38,13 @@
     }
 
     @Test
-    void twoEnginesTakeAllPrompts() {
-        EnginePartition lanes = EnginePartition.split(engines(2));
-        assertThat(lanes.shortPrompts()).isEqualTo(lanes.longPrompts());
+    void twoEnginesServeAllPrompts() {
+        EnginePartition partition = EnginePartition.split(engines(2));
+        assertThat(partition.shortPrompts()).isEqualTo(partition.longPrompts());
     }
 
     @Test
-    void chatsAreShortAndStudiesLong() {
+    void classifiesPromptsByLength() {
         assertThat(EnginePartition.isShort(ProxyFixtures.chat("s"))).isTrue();
         assertThat(EnginePartition.isShort(ProxyFixtures.study("d"))).isFalse();
     }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/PlacementExchangeTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/PlacementExchangeTest.java
@@ -10,20 +10,20 @@
     private final PlacementExchange exchange = new PlacementExchange();
 
     @Test
-    void tellsLongSharedPartsForAShortTime() {
-        exchange.placed(1_000, "engine/1", ProxyFixtures.study("document"));
-        exchange.placed(1_000, "engine/1", ProxyFixtures.chat("session"));
-        assertThat(exchange.toTell(1_600))
+    void reportsLongSharedPartsForALimitedTime() {
+        exchange.record(1_000, "engine/1", ProxyFixtures.study("document"));
+        exchange.record(1_000, "engine/1", ProxyFixtures.chat("session"));
+        assertThat(exchange.recent(1_600))
                 .containsExactly(new PlacedPart("engine/1", new PromptPart("document", 13_300)));
-        assertThat(exchange.toTell(1_601)).isEmpty();
+        assertThat(exchange.recent(1_601)).isEmpty();
     }
 
     @Test
-    void whatIsHeardCountsForEnginesThatAreKnown() {
+    void receivedPlacementsCountForKnownEngines() {
         LoadTable loads = new LoadTable();
         loads.of("engine/1", 500_000);
-        exchange.heard(new PlacedPart("engine/1", new PromptPart("document", 13_300)));
-        exchange.heard(new PlacedPart("unknown/1", new PromptPart("document", 13_300)));
+        exchange.receive(new PlacedPart("engine/1", new PromptPart("document", 13_300)));
+        exchange.receive(new PlacedPart("unknown/1", new PromptPart("document", 13_300)));
         exchange.applyTo(loads);
         assertThat(loads.of("engine/1", 500_000).uncachedSharedTokens(ProxyFixtures.study("document")))
                 .isZero();
