--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -226,7 +226,7 @@
                 loads,
                 placements,
                 lines,
-                new PoolRetryBudgets(times.retryWindowMillis(), times.retryRatio(), times.retryExtra()),
+                new PoolRetryBudgets(times.retryWindowMillis(), times.retryRatio(), times.retryAllowance()),
                 crashes,
                 usage,
                 usageTime,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxySettings.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxySettings.java
@@ -33,7 +33,7 @@
      * @param usageWindowMillis The length of a usage window in milliseconds.
      * @param retryWindowMillis The window of the budget of repeats in milliseconds.
      * @param retryRatio The repeats allowed for each request.
-     * @param retryExtra The repeats allowed besides, for all hosts together.
+     * @param retryAllowance The repeats allowed besides, for all hosts together.
      */
     public record Times(
             long keyWithdrawalMillis,
@@ -44,5 +44,5 @@
             long usageWindowMillis,
             long retryWindowMillis,
             double retryRatio,
-            double retryExtra) {}
+            double retryAllowance) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/RouteKind.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/RouteKind.java
@@ -15,17 +15,17 @@
     private final boolean streams;
 
     /** Whether the request may run again. */
-    private final boolean mayRepeat;
+    private final boolean mayRetry;
 
     /**
      * Creates a kind.
      *
      * @param streams Whether the answer is a stream of events.
-     * @param mayRepeat Whether the request may run again.
+     * @param mayRetry Whether the request may run again.
      */
-    RouteKind(boolean streams, boolean mayRepeat) {
+    RouteKind(boolean streams, boolean mayRetry) {
         this.streams = streams;
-        this.mayRepeat = mayRepeat;
+        this.mayRetry = mayRetry;
     }
 
     /**
@@ -42,7 +42,7 @@
      *
      * @return Whether it may be repeated.
      */
-    public boolean mayRepeat() {
-        return mayRepeat;
+    public boolean mayRetry() {
+        return mayRetry;
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
@@ -87,7 +87,7 @@
         OptionalLong token = duty.token();
         if (!token.equals(lastToken)) {
             lastToken = token;
-            plans.values().forEach(FleetPlan::takeOver);
+            plans.values().forEach(FleetPlan::beginTerm);
         }
         tools.board()
                 .configuration()
@@ -141,8 +141,8 @@
         switch (answer) {
             case ACCEPTED -> {}
             case FENCED -> duty.refused(token);
-            case TURNED_AWAY -> plan.turnedAway(tools.time().monotonicMillis(), order);
-            default -> plan.unanswered(order);
+            case TURNED_AWAY -> plan.orderRejected(tools.time().monotonicMillis(), order);
+            default -> plan.orderUnconfirmed(order);
         }
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
@@ -95,7 +95,7 @@
                 .join(GROUP, member, GROUP, lifetimeMillis, lease.generation())
                 .onSuccess(share -> {
                     watch.reached(tools.time().monotonicMillis());
-                    lease.joined(sentMillis, sentWallMillis, share);
+                    lease.recordJoin(sentMillis, sentWallMillis, share);
                 })
                 .onFailure(
                         failure -> watch.failed(tools.time().monotonicMillis(), String.valueOf(failure.getMessage())))
@@ -119,12 +119,13 @@
     public OptionalLong token() {
         return left
                 ? OptionalLong.empty()
-                : lease.token(tools.time().monotonicMillis(), tools.time().wallMillis());
+                : lease.fencingToken(
+                        tools.time().monotonicMillis(), tools.time().wallMillis());
     }
 
     /** Notes that this host acts. */
     public void acting() {
-        lease.acted(tools.time().monotonicMillis());
+        lease.recordAction(tools.time().monotonicMillis());
     }
 
     /**
@@ -133,7 +134,7 @@
      * @param token The token.
      */
     public void refused(long token) {
-        lease.refused(token);
+        lease.recordFenced(token);
     }
 
     /** Logs when the duties are taken or lost. */
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
@@ -164,7 +164,7 @@
                         incarnation,
                         new BackendWork(own.running(), own.unreadTokens(), own.heldTokens(), own.shortRunning())));
         List<CrashCount> counts = new ArrayList<>();
-        crashes.own(now).forEach((fingerprint, count) -> counts.add(new CrashCount(fingerprint, count)));
+        crashes.local(now).forEach((fingerprint, count) -> counts.add(new CrashCount(fingerprint, count)));
         List<PartPlaced> parts = new ArrayList<>();
         placements
                 .recent(now)
@@ -194,7 +194,7 @@
         }
         Map<Long, Integer> counts = new HashMap<>();
         report.getCrashes().forEach(count -> counts.put(count.getFingerprint(), count.getCrashes()));
-        crashes.takeOthers(report.getHost(), counts);
+        crashes.replaceRemote(report.getHost(), counts);
         report.getPlaced()
                 .forEach(placed -> placements.receive(
                         new PlacedPart(placed.getIncarnation(), new PromptPart(placed.getPart(), placed.getTokens()))));
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageReportController.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageReportController.java
@@ -136,7 +136,7 @@
             reported.add(newest);
             return Future.succeededFuture();
         }
-        Map<String, Long> decided = ledger.decidedFor(window);
+        Map<String, Long> decided = ledger.decidedFigures(window);
         if (decided != null) {
             return report(window, decided);
         }
@@ -146,7 +146,7 @@
                 .append(DECIDED_TOPIC, record, OptionalLong.of(nextDecided))
                 .compose(offset -> {
                     nextDecided = offset + 1;
-                    ledger.decided(window, total);
+                    ledger.recordDecided(window, total);
                     return report(window, total);
                 });
     }
@@ -230,7 +230,7 @@
      */
     private void takeCounted(byte[] record) {
         try {
-            UsageShipper.counts(MessageCodec.read(record, new UsageBatch())).forEach(ledger::counted);
+            UsageShipper.counts(MessageCodec.read(record, new UsageBatch())).forEach(ledger::recordCount);
         } catch (TException exception) {
             tools.events().emit(new ControlEvents.RecordUnreadable(UsageShipper.TOPIC, "", exception.getMessage()));
         }
@@ -244,7 +244,7 @@
     private void takeDecided(byte[] record) {
         try {
             UsageDecided decided = MessageCodec.read(record, new UsageDecided());
-            ledger.decided(decided.getWindow(), decided.getByCustomer());
+            ledger.recordDecided(decided.getWindow(), decided.getByCustomer());
         } catch (TException exception) {
             tools.events().emit(new ControlEvents.RecordUnreadable(DECIDED_TOPIC, "", exception.getMessage()));
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageShipper.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/UsageShipper.java
@@ -90,7 +90,7 @@
      * @return The end of the write.
      */
     public Future<Void> ship() {
-        own().forEach(gathering::take);
+        own().forEach(gathering::merge);
         return write();
     }
 
@@ -112,7 +112,7 @@
      * @return The end of the write.
      */
     private Future<Void> write() {
-        List<UsageCount> changed = gathering.takeChanged();
+        List<UsageCount> changed = gathering.drainChanged();
         if (changed.isEmpty()) {
             return Future.succeededFuture();
         }
@@ -121,7 +121,7 @@
                 .onSuccess(offset -> watch.reached(tools.time().monotonicMillis()))
                 .onFailure(failure -> {
                     watch.failed(tools.time().monotonicMillis(), String.valueOf(failure.getMessage()));
-                    gathering.giveBack(changed);
+                    gathering.requeue(changed);
                     handOver();
                 })
                 .mapEmpty();
@@ -140,7 +140,7 @@
      * @param batch The counts.
      */
     private void gather(UsageBatch batch) {
-        counts(batch).forEach(gathering::take);
+        counts(batch).forEach(gathering::merge);
     }
 
     /**
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendClient.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendClient.java
@@ -64,7 +64,7 @@
                 .setMethod(request.method())
                 .setURI(request.uri())
                 .putHeader(HttpHeaders.HOST, request.host());
-        boolean reuse = request.route().kind().mayRepeat();
+        boolean reuse = request.route().kind().mayRetry();
         return (reuse ? keeping : single).request(options);
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -95,11 +95,11 @@
             return;
         }
         timer = tools.vertx().setTimer(request.endMillis() - now, fired -> expire());
-        if (tools.crashes().refuses(request::fingerprint)) {
+        if (tools.crashes().isBlocked(request::fingerprint)) {
             reject(RejectReason.CRASHES_BACKENDS);
             return;
         }
-        tools.budgets().of(request.pool().name()).noteRequest(now);
+        tools.budgets().of(request.pool().name()).recordRequest(now);
         if (!tryNext()) {
             reject(RejectReason.NO_BACKEND);
         }
@@ -161,9 +161,9 @@
         history = history.withOutcome(outcome);
         long remaining = request.endMillis() - now;
         NextStep next = RetryPolicy.next(request.route(), history, outcome, remaining);
-        boolean another = next == NextStep.TRY_ANOTHER && mayRepeat(outcome, now);
+        boolean another = next == NextStep.TRY_ANOTHER && mayRetry(outcome, now);
         if (next == NextStep.TRY_ANOTHER && !another) {
-            next = RetryPolicy.withoutAnother(history, outcome);
+            next = RetryPolicy.withoutRetry(history, outcome);
         }
         report.attemptFailed(backend, outcome, detail, next, history, remaining, now - attemptMillis);
         follow(next, outcome);
@@ -180,7 +180,7 @@
             if (tryNext()) {
                 return;
             }
-            follow(RetryPolicy.withoutAnother(history, outcome), outcome);
+            follow(RetryPolicy.withoutRetry(history, outcome), outcome);
             return;
         }
         switch (next) {
@@ -214,7 +214,7 @@
             report.began();
         }
         if (outcome == AttemptOutcome.BROKEN || outcome == AttemptOutcome.STREAM_BROKEN) {
-            tools.crashes().note(now, request.fingerprint());
+            tools.crashes().record(now, request.fingerprint());
         }
     }
 
@@ -225,16 +225,16 @@
      * @param now The present monotonic time in milliseconds.
      * @return Whether another attempt is allowed.
      */
-    private boolean mayRepeat(AttemptOutcome outcome, long now) {
+    private boolean mayRetry(AttemptOutcome outcome, long now) {
         if (outcome == AttemptOutcome.NOT_CONNECTED) {
             return true;
         }
-        if (tools.crashes().refuses(request::fingerprint)) {
+        if (tools.crashes().isBlocked(request::fingerprint)) {
             return false;
         }
         return tools.budgets()
                 .of(request.pool().name())
-                .tryTake(now, tools.board().peers().hosts());
+                .tryAcquire(now, tools.board().peers().hosts());
     }
 
     /**
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/BackendOrder.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/BackendOrder.java
@@ -3,11 +3,9 @@
 import org.cranberrygauge.model.backend.Supply;
 
 /**
- * The whole number of backend servers that is wished for.
+ * An order that sets the total number of backend servers of one supply in a data centre.
  *
- * @param pool The pool.
- * @param dataCentre The data centre.
- * @param supply How they are supplied.
- * @param number The number.
+ * @param supply Whether regular or cheap, reclaimable servers are ordered.
+ * @param number The total number, not the difference from the current one.
  */
 public record BackendOrder(String pool, String dataCentre, Supply supply, int number) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/ControlPlaneClient.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/ControlPlaneClient.java
@@ -4,40 +4,37 @@
 import java.util.Map;
 
 /**
- * Takes what one host does for all.
+ * The control-plane calls that only the leader makes.
  *
- * <p>Safe for use by several threads. A call without an answer may still be carried out later.
+ * <p>Thread-safe. A call without a response may still be carried out later.
  */
 public interface ControlPlaneClient {
 
     /**
-     * Reports the figures of a usage window.
+     * Reports the usage of a window.
      *
-     * @param fencingToken The fencing token.
-     * @param window The window.
-     * @param byCustomer The figures.
-     * @return What the receiver said.
+     * @param fencingToken The leader's fencing token.
+     * @param usageWindow The number of the usage window.
+     * @param byCustomer The number of requests by customer.
      */
-    Future<ControlPlaneOutcome> reportUsage(long fencingToken, long window, Map<String, Long> byCustomer);
+    Future<ControlPlaneOutcome> reportUsage(long fencingToken, long usageWindow, Map<String, Long> byCustomer);
 
     /**
      * Orders backend servers.
      *
-     * @param fencingToken The fencing token.
-     * @param order The order.
-     * @return What the receiver said.
+     * @param fencingToken The leader's fencing token.
      */
     Future<ControlPlaneOutcome> order(long fencingToken, BackendOrder order);
 
-    /** What a receiver says. */
+    /** The outcome of a control-plane call. */
     enum ControlPlaneOutcome {
         /** The call was carried out. */
         ACCEPTED,
-        /** A higher fencing token has been used. */
+        /** The call was rejected since a higher fencing token had been used. */
         FENCED,
-        /** The call was turned away, or what was ordered can't be had. */
+        /** The call was rejected, or the ordered capacity is unavailable. */
         TURNED_AWAY,
-        /** There was no answer. */
+        /** There was no response; the call may have been carried out. */
         NO_ANSWER
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/FleetPlan.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/FleetPlan.java
@@ -11,104 +11,96 @@
 import org.cranberrygauge.proxy.configuration.FleetLimits;
 
 /**
- * Decides how many backend servers of a pool are ordered in each data centre.
+ * Decides how many backend servers of a pool to order in each data centre.
  *
- * <p>Cheap ones are spread over all data centres where they can be had, so that the loss of all of one data centre leaves the
- * rest. Regular ones are handed back only once the cheap ones are ready, and come back where cheap ones can't be had. A few
- * regular ones always stay. Each host observes; the holder of the duties decides. Used by one thread.
+ * <p>Cheap servers, which the provider may reclaim, are spread over all data centres where they are available, so that
+ * the loss of all of them in one data centre leaves the rest. Regular servers are released only once the cheap ones are
+ * ready, and are ordered again where cheap ones are unavailable; a minimum of regular servers always stays. Every host
+ * observes the fleet; only the leader decides. Not thread-safe.
  */
 public final class FleetPlan {
 
-    /** The backend servers wished for, for each one that was there at the start. */
-    private static final double START_FACTOR = 1.25;
+    /** The factor from the number of servers found at startup to the initial target size. */
+    private static final double INITIAL_SIZE_FACTOR = 1.25;
 
-    /** The regular backend servers that always stay. */
-    private static final int REGULAR_FLOOR = 1;
+    /** The regular servers that are never released. */
+    private static final int MINIMUM_REGULAR = 1;
 
-    /** The regular and cheap backend servers together for each one that the demand needs, where cheap ones can't be had. */
-    private static final double NEEDED_FACTOR = 1.3;
+    /**
+     * The factor from the demand to the number of regular and cheap servers together, where cheap ones are unavailable.
+     */
+    private static final double DEMAND_HEADROOM_FACTOR = 1.3;
 
-    /** The time for which a data centre that had no cheap backend server to give is left out, in milliseconds. */
-    private static final long DRY_MILLIS = 6_000;
+    /** The time for which a data centre is skipped after it had no cheap server available. */
+    private static final long UNAVAILABLE_MILLIS = 6_000;
 
-    /** The time after which an order whose result isn't seen is stated again, beyond the boot time, in milliseconds. */
-    private static final long RESTATE_MILLIS = 2_500;
+    /** The time beyond the boot time after which an unfulfilled order is repeated. */
+    private static final long REORDER_MILLIS = 2_500;
 
-    /** The time for which the demand must be low before the fleet shrinks, in milliseconds. */
-    private static final long SHRINK_MILLIS = 8_000;
+    /** The time for which the demand must be low before the fleet shrinks by one server. */
+    private static final long SHRINK_DELAY_MILLIS = 8_000;
 
-    /** The part of the fleet below which the demand is low. */
-    private static final double LOW_PART = 0.6;
+    /** The fraction of the fleet size below which the demand counts as low. */
+    private static final double SHRINK_THRESHOLD = 0.6;
 
-    /** The time in which the backend servers that are there register, in milliseconds. */
+    /** The time within which all running backend servers register. */
     private static final long REGISTRATION_MILLIS = 4_500;
 
-    /** The pool. */
     private final String pool;
 
-    /** The times until which data centres are left out. */
-    private final Map<String, Long> dryUntilMillis = new HashMap<>();
+    /** The monotonic times until which data centres are skipped for cheap servers. */
+    private final Map<String, Long> unavailableUntilMillis = new HashMap<>();
 
-    /** The last order for each kind and data centre. */
-    private final Map<String, Stated> stated = new HashMap<>();
+    /** By supply and data centre. */
+    private final Map<String, LastOrder> lastOrders = new HashMap<>();
 
-    /** The monotonic time at which a backend server was first seen, or -1 before. */
-    private long seenSinceMillis = -1;
+    /** The monotonic time at which a backend server was first seen; -1 before. */
+    private long firstSeenMillis = -1;
 
-    /** The number that the demand needs. */
-    private double needed;
+    private double demandedServers;
 
-    /** The number wished for in all, or 0 before the list of backend servers is complete. */
+    /** The target size of the fleet; 0 until the list of backend servers is complete. */
     private int size;
 
-    /** The monotonic time from which the demand is low. */
-    private long lowSinceMillis;
+    private long lowDemandSinceMillis;
 
-    /**
-     * Creates a plan.
-     *
-     * @param pool The pool.
-     */
     public FleetPlan(String pool) {
         this.pool = pool;
     }
 
     /**
-     * Notes what is there and what is needed, also on hosts that order nothing, so that a successor knows the size that was
-     * wished for before a loss.
+     * Records the current fleet and demand. Called on all hosts, so that a new leader knows the target size from before
+     * a loss.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param limits How backend servers may be ordered.
-     * @param present The backend servers that take new work.
-     * @param demand The number that the present demand needs.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param present The backend servers that accept new requests.
+     * @param demand The number of servers that the current demand requires.
      */
     public void observe(long nowMillis, FleetLimits limits, List<Backend> present, double demand) {
-        needed = demand;
+        demandedServers = demand;
         if (present.isEmpty()) {
             return;
         }
-        if (seenSinceMillis < 0) {
-            seenSinceMillis = nowMillis;
+        if (firstSeenMillis < 0) {
+            firstSeenMillis = nowMillis;
         }
-        if (nowMillis - seenSinceMillis < REGISTRATION_MILLIS) {
+        if (nowMillis - firstSeenMillis < REGISTRATION_MILLIS) {
             return;
         }
         int dataCentres = limits.dataCentrePrices().size();
         resize(nowMillis, present.size(), limits.maximum() * dataCentres);
     }
 
-    /** Forgets the orders of an earlier term of this host, since others may have ordered after them. */
-    public void takeOver() {
-        stated.clear();
+    /** Discards the orders of an earlier term of this host, since another leader may have ordered in between. */
+    public void beginTerm() {
+        lastOrders.clear();
     }
 
     /**
-     * Decides what to order for what was last observed.
+     * Returns the orders due for the last observation.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param limits How backend servers may be ordered.
-     * @param present The backend servers that take new work.
-     * @return The orders.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param present The backend servers that accept new requests.
      */
     public List<BackendOrder> decide(long nowMillis, FleetLimits limits, List<Backend> present) {
         if (size == 0 || present.isEmpty()) {
@@ -118,205 +110,151 @@
         dataCentres.sort(Comparator.comparing(name -> limits.dataCentrePrices().get(name)));
         Map<String, Integer> cheap = count(present, Supply.CHEAP);
         Map<String, Integer> regular = count(present, Supply.REGULAR);
-        Map<String, Integer> cheapWish = cheapWish(nowMillis, limits, dataCentres, cheap);
-        int regularWish = regularWish(nowMillis, limits, cheap, cheapWish, total(regular));
-        Map<String, Integer> regularWishes = regularWishes(limits, dataCentres, cheapWish, regular, regularWish);
+        Map<String, Integer> cheapTargets = cheapTargets(nowMillis, limits, dataCentres, cheap);
+        int regularTarget = regularTarget(nowMillis, limits, cheap, cheapTargets, total(regular));
+        Map<String, Integer> regularTargets = regularTargets(limits, dataCentres, cheapTargets, regular, regularTarget);
         List<BackendOrder> orders = new ArrayList<>();
         for (String dataCentre : dataCentres) {
-            state(nowMillis, limits, orders, dataCentre, Supply.CHEAP, cheapWish, cheap);
-            state(nowMillis, limits, orders, dataCentre, Supply.REGULAR, regularWishes, regular);
+            addOrder(nowMillis, limits, orders, dataCentre, Supply.CHEAP, cheapTargets, cheap);
+            addOrder(nowMillis, limits, orders, dataCentre, Supply.REGULAR, regularTargets, regular);
         }
         return orders;
     }
 
     /**
-     * Notes that an order was turned away, since none can be had there at present.
+     * Records that an order was rejected since the capacity is currently unavailable.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param order The order.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public void turnedAway(long nowMillis, BackendOrder order) {
-        stated.remove(order.supply() + order.dataCentre());
+    public void orderRejected(long nowMillis, BackendOrder order) {
+        lastOrders.remove(order.supply() + order.dataCentre());
         if (order.supply() == Supply.CHEAP) {
-            dryUntilMillis.put(order.dataCentre(), nowMillis + DRY_MILLIS);
+            unavailableUntilMillis.put(order.dataCentre(), nowMillis + UNAVAILABLE_MILLIS);
         }
     }
 
-    /**
-     * Notes that it isn't known whether an order was carried out, so that it is stated again.
-     *
-     * @param order The order.
-     */
-    public void unanswered(BackendOrder order) {
-        stated.remove(order.supply() + order.dataCentre());
+    /** Records that the outcome of an order is unknown, so that it is repeated. */
+    public void orderUnconfirmed(BackendOrder order) {
+        lastOrders.remove(order.supply() + order.dataCentre());
     }
 
-    /**
-     * Sets the number wished for by the demand.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param present The number that takes new work.
-     * @param maximum The highest number.
-     */
+    /** Adjusts the target size to the demand: grows at once, shrinks slowly. */
     private void resize(long nowMillis, int present, int maximum) {
         if (size == 0) {
-            size = (int) Math.ceil(present * START_FACTOR);
-            lowSinceMillis = nowMillis;
+            size = (int) Math.ceil(present * INITIAL_SIZE_FACTOR);
+            lowDemandSinceMillis = nowMillis;
         }
-        if (needed > size * LOW_PART) {
-            lowSinceMillis = nowMillis;
+        if (demandedServers > size * SHRINK_THRESHOLD) {
+            lowDemandSinceMillis = nowMillis;
         }
-        if (needed > size) {
-            size = (int) Math.ceil(needed);
-        } else if (nowMillis - lowSinceMillis > SHRINK_MILLIS) {
+        if (demandedServers > size) {
+            size = (int) Math.ceil(demandedServers);
+        } else if (nowMillis - lowDemandSinceMillis > SHRINK_DELAY_MILLIS) {
             size--;
-            lowSinceMillis = nowMillis;
+            lowDemandSinceMillis = nowMillis;
         }
         size = Math.max(2, Math.min(maximum, size));
     }
 
     /**
-     * Spreads the cheap ones over the data centres; one that has none to give keeps those that are there.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param limits The limits.
-     * @param dataCentres The data centres, cheapest first.
-     * @param cheap The cheap ones that are there.
-     * @return The numbers by data centre.
+     * Spreads cheap servers over the data centres, given cheapest first. A data centre without available capacity keeps
+     * its current ones.
      */
-    private Map<String, Integer> cheapWish(
+    private Map<String, Integer> cheapTargets(
             long nowMillis, FleetLimits limits, List<String> dataCentres, Map<String, Integer> cheap) {
-        Map<String, Integer> wish = new HashMap<>();
-        List<String> open = new ArrayList<>();
+        Map<String, Integer> target = new HashMap<>();
+        List<String> available = new ArrayList<>();
         for (String dataCentre : dataCentres) {
-            if (nowMillis >= dryUntilMillis.getOrDefault(dataCentre, Long.MIN_VALUE)) {
-                open.add(dataCentre);
+            if (nowMillis >= unavailableUntilMillis.getOrDefault(dataCentre, Long.MIN_VALUE)) {
+                available.add(dataCentre);
             } else {
-                wish.put(dataCentre, cheap.getOrDefault(dataCentre, 0));
+                target.put(dataCentre, cheap.getOrDefault(dataCentre, 0));
             }
         }
-        int most = limits.maximum() - REGULAR_FLOOR;
-        int spread = size - total(wish);
-        for (int index = 0; index < spread && !open.isEmpty(); index++) {
-            String dataCentre = open.get(index % open.size());
-            wish.merge(dataCentre, 1, (left, right) -> Math.min(most, left + right));
+        int maximumCheap = limits.maximum() - MINIMUM_REGULAR;
+        int remaining = size - total(target);
+        for (int index = 0; index < remaining && !available.isEmpty(); index++) {
+            String dataCentre = available.get(index % available.size());
+            target.merge(dataCentre, 1, (count, increment) -> Math.min(maximumCheap, count + increment));
         }
-        return wish;
+        return target;
     }
 
     /**
-     * Decides the number of regular ones: those that are there stay until the cheap ones are ready, and more are ordered only
-     * for cheap ones that don't come, as far as the demand needs them.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param limits The limits.
-     * @param cheap The cheap ones that are there.
-     * @param cheapWish The cheap ones wished for.
-     * @param regular The number of regular ones that are there.
-     * @return The number of regular ones.
+     * Computes the number of regular servers. Current ones stay until the cheap ones are ready; more are ordered only
+     * in place of cheap servers that don't arrive, as far as the demand requires them.
      */
-    private int regularWish(
+    private int regularTarget(
             long nowMillis,
             FleetLimits limits,
             Map<String, Integer> cheap,
-            Map<String, Integer> cheapWish,
+            Map<String, Integer> cheapTargets,
             int regular) {
-        int missing = size - total(cheap);
-        int coming = 0;
-        for (Map.Entry<String, Integer> wish : cheapWish.entrySet()) {
-            Stated last = stated.get(Supply.CHEAP + wish.getKey());
-            boolean soon = last == null || nowMillis - last.atMillis() <= limits.bootMillis() + RESTATE_MILLIS;
-            int absent = wish.getValue() - cheap.getOrDefault(wish.getKey(), 0);
-            coming += soon ? Math.max(0, absent) : 0;
+        int shortfall = size - total(cheap);
+        int expected = 0;
+        for (Map.Entry<String, Integer> target : cheapTargets.entrySet()) {
+            LastOrder lastOrder = lastOrders.get(Supply.CHEAP + target.getKey());
+            boolean mayStillBoot =
+                    lastOrder == null || nowMillis - lastOrder.atMillis() <= limits.bootMillis() + REORDER_MILLIS;
+            int outstanding = target.getValue() - cheap.getOrDefault(target.getKey(), 0);
+            expected += mayStillBoot ? Math.max(0, outstanding) : 0;
         }
-        int kept = Math.min(regular, missing);
-        int lacking = (int) Math.ceil(needed * NEEDED_FACTOR) - total(cheap);
-        return Math.max(REGULAR_FLOOR, Math.max(kept, Math.min(missing, lacking) - coming));
+        int retained = Math.min(regular, shortfall);
+        int demandShortfall = (int) Math.ceil(demandedServers * DEMAND_HEADROOM_FACTOR) - total(cheap);
+        return Math.max(MINIMUM_REGULAR, Math.max(retained, Math.min(shortfall, demandShortfall) - expected));
     }
 
-    /**
-     * Adds up numbers.
-     *
-     * @param numbers The numbers.
-     * @return The sum.
-     */
     private static int total(Map<String, Integer> numbers) {
         return numbers.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /**
-     * Spreads the regular ones, where they are already first.
-     *
-     * @param limits The limits.
-     * @param dataCentres The data centres, cheapest first.
-     * @param cheapWish The cheap ones wished for.
-     * @param regular The regular ones that are there.
-     * @param number The number of regular ones.
-     * @return The numbers by data centre.
-     */
-    private static Map<String, Integer> regularWishes(
+    /** Distributes the regular servers over the data centres, given cheapest first: current locations come first. */
+    private static Map<String, Integer> regularTargets(
             FleetLimits limits,
             List<String> dataCentres,
-            Map<String, Integer> cheapWish,
+            Map<String, Integer> cheapTargets,
             Map<String, Integer> regular,
             int number) {
-        Map<String, Integer> wish = new TreeMap<>();
-        int left = number;
+        Map<String, Integer> target = new TreeMap<>();
+        int unassigned = number;
         for (String dataCentre : dataCentres) {
-            int kept = Math.min(left, regular.getOrDefault(dataCentre, 0));
-            wish.put(dataCentre, kept);
-            left -= kept;
+            int retained = Math.min(unassigned, regular.getOrDefault(dataCentre, 0));
+            target.put(dataCentre, retained);
+            unassigned -= retained;
         }
         for (String dataCentre : dataCentres) {
-            int room = limits.maximum() - cheapWish.getOrDefault(dataCentre, 0) - wish.get(dataCentre);
-            int added = Math.max(0, Math.min(left, room));
-            wish.merge(dataCentre, added, Integer::sum);
-            left -= added;
+            int capacity = limits.maximum() - cheapTargets.getOrDefault(dataCentre, 0) - target.get(dataCentre);
+            int added = Math.max(0, Math.min(unassigned, capacity));
+            target.merge(dataCentre, added, Integer::sum);
+            unassigned -= added;
         }
         for (String dataCentre : dataCentres) {
-            int total = wish.get(dataCentre) + cheapWish.getOrDefault(dataCentre, 0);
-            wish.merge(dataCentre, Math.max(0, limits.minimum() - total), Integer::sum);
+            int total = target.get(dataCentre) + cheapTargets.getOrDefault(dataCentre, 0);
+            target.merge(dataCentre, Math.max(0, limits.minimum() - total), Integer::sum);
         }
-        return wish;
+        return target;
     }
 
-    /**
-     * Adds an order if what is there, or was ordered last, isn't what is wished for.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param limits The limits.
-     * @param orders The orders to add to.
-     * @param dataCentre The data centre.
-     * @param supply The kind.
-     * @param wishes The numbers wished for.
-     * @param counts The numbers that are there.
-     */
-    private void state(
+    /** Adds an order if neither the current number nor the last order matches the target. */
+    private void addOrder(
             long nowMillis,
             FleetLimits limits,
             List<BackendOrder> orders,
             String dataCentre,
             Supply supply,
-            Map<String, Integer> wishes,
+            Map<String, Integer> targets,
             Map<String, Integer> counts) {
-        int wish = wishes.getOrDefault(dataCentre, 0);
-        Stated last = stated.get(supply + dataCentre);
-        boolean unseen = counts.getOrDefault(dataCentre, 0) != wish
-                && (last == null || nowMillis - last.atMillis() > limits.bootMillis() + RESTATE_MILLIS);
-        boolean changed = last != null && last.number() != wish;
-        if (unseen || changed) {
-            stated.put(supply + dataCentre, new Stated(wish, nowMillis));
-            orders.add(new BackendOrder(pool, dataCentre, supply, wish));
+        int target = targets.getOrDefault(dataCentre, 0);
+        LastOrder lastOrder = lastOrders.get(supply + dataCentre);
+        boolean unfulfilled = counts.getOrDefault(dataCentre, 0) != target
+                && (lastOrder == null || nowMillis - lastOrder.atMillis() > limits.bootMillis() + REORDER_MILLIS);
+        boolean changed = lastOrder != null && lastOrder.number() != target;
+        if (unfulfilled || changed) {
+            lastOrders.put(supply + dataCentre, new LastOrder(target, nowMillis));
+            orders.add(new BackendOrder(pool, dataCentre, supply, target));
         }
     }
 
-    /**
-     * Counts backend servers by data centre.
-     *
-     * @param present The backend servers.
-     * @param supply The kind.
-     * @return The numbers by data centre.
-     */
     private static Map<String, Integer> count(List<Backend> present, Supply supply) {
         Map<String, Integer> counts = new HashMap<>();
         for (Backend backend : present) {
@@ -327,11 +265,6 @@
         return counts;
     }
 
-    /**
-     * The last order for a kind and data centre.
-     *
-     * @param number The number.
-     * @param atMillis The monotonic time.
-     */
-    private record Stated(int number, long atMillis) {}
+    /** The last order for one supply and data centre, with the monotonic time at which it was made. */
+    private record LastOrder(int number, long atMillis) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/JumpTolerantTimeSource.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/JumpTolerantTimeSource.java
@@ -3,32 +3,26 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * Clocks whose time of day ignores short jumps of the system's clock.
+ * A time source whose wall clock ignores short jumps of the system clock.
  *
- * <p>A jump counts once it has lasted, so that windows of usage are cut alike on all hosts. Safe for use by several threads.
+ * <p>A jump is adopted once it has persisted, so that all hosts assign requests to the same usage windows. Thread-safe.
  */
 public final class JumpTolerantTimeSource implements TimeSource {
 
-    /** The difference from which a change is a jump, in milliseconds. */
-    private static final long JUMP_MILLIS = 250;
+    /** The change of the clock difference from which it counts as a jump. */
+    private static final long JUMP_THRESHOLD_MILLIS = 250;
 
-    /** The time after which a jump counts, in milliseconds. */
-    private static final long ACCEPTED_AFTER_MILLIS = 12_000;
+    /** The time after which a jump that persists is adopted. */
+    private static final long ACCEPTANCE_DELAY_MILLIS = 12_000;
 
-    /** The clocks of the system. */
     private final TimeSource system;
 
-    /** The time of day less the monotonic time that counts. */
+    /** The adopted difference between wall-clock and monotonic time. */
     private long offsetMillis;
 
-    /** The monotonic time at which the present jump was first seen, or -1 if there is none. */
-    private long jumpedMillis = -1;
+    /** The monotonic time at which the current jump was first seen; -1 if there is none. */
+    private long jumpSeenMillis = -1;
 
-    /**
-     * Creates clocks.
-     *
-     * @param system The clocks of the system.
-     */
     public JumpTolerantTimeSource(TimeSource system) {
         this.system = system;
         this.offsetMillis = system.wallMillis() - system.monotonicMillis();
@@ -43,14 +37,14 @@
     public synchronized long wallMillis() {
         long now = system.monotonicMillis();
         long offset = system.wallMillis() - now;
-        if (Math.abs(offset - offsetMillis) < JUMP_MILLIS) {
+        if (Math.abs(offset - offsetMillis) < JUMP_THRESHOLD_MILLIS) {
             offsetMillis = offset;
-            jumpedMillis = -1;
-        } else if (jumpedMillis < 0) {
-            jumpedMillis = now;
-        } else if (now - jumpedMillis >= ACCEPTED_AFTER_MILLIS) {
+            jumpSeenMillis = -1;
+        } else if (jumpSeenMillis < 0) {
+            jumpSeenMillis = now;
+        } else if (now - jumpSeenMillis >= ACCEPTANCE_DELAY_MILLIS) {
             offsetMillis = offset;
-            jumpedMillis = -1;
+            jumpSeenMillis = -1;
         }
         return now + offsetMillis;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/LeaderLease.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/LeaderLease.java
@@ -5,121 +5,100 @@
 import org.cranberrygauge.proxy.store.SharedLog.GroupAssignment;
 
 /**
- * Decides whether this host may act for all.
+ * Decides whether this host may act as the leader.
  *
- * <p>The host that holds the first part of a group's topic holds the duties, and the generation in which it holds it is its
- * fencing token. Invariants: it acts only while its last successful join is younger than the lifetime of its membership, by
- * the monotonic clock and by the time of day; after it lost the duties, it acts again only once a whole lease has passed since
- * its last act, so that two holders never act by turns within a lease; a process that has just started waits as long, since
- * it doesn't know what the process before it did; a token that was refused is never used again. Used by one thread.
+ * <p>The host that is assigned the first partition of the group's topic is the leader, and the group generation is its
+ * fencing token. Invariants: the leader acts only while its last successful join is within the validity of its
+ * membership, by the monotonic and by the wall clock; a host that lost leadership acts again only a whole lease after
+ * its last action, so that two leaders never act in alternation within one lease; a process that has just started waits
+ * for as long, since it doesn't know what its predecessor did; a fenced token is never used again. Not thread-safe.
  */
 public final class LeaderLease {
 
-    /** The time between an act before the duties were lost and one after they came back, in milliseconds. */
+    /** The minimum time between the last action of one term of this host and the first of its next. */
     private final long leaseMillis;
 
-    /** The age of the last join up to which the holder acts, in milliseconds. */
-    private final long validMillis;
+    /** The age of the last join up to which the leader acts. */
+    private final long validityMillis;
 
-    /** Whether the part is held. */
-    private boolean held;
+    private boolean leading;
 
-    /** The generation. */
     private long generation;
 
-    /** The highest token that was refused. */
-    private long refused = -1;
+    /** The highest token that was rejected; -1 if there is none. */
+    private long highestFencedToken = -1;
 
-    /** The monotonic time of the last act. */
-    private long actedMillis;
+    /** The monotonic time of the last action. */
+    private long lastActionMillis;
 
-    /** The monotonic time of the last act before the duties were lost, or of the start. */
-    private long earlierActMillis;
+    /** The monotonic time of the last action before leadership was lost, or of the process start. */
+    private long previousTermActionMillis;
 
     /** The time at which the last successful join was sent. */
-    private Confirmation joined = Confirmation.NONE;
+    private Confirmation lastJoin = Confirmation.NONE;
 
     /**
-     * Creates a lease.
-     *
-     * @param startMillis The monotonic time of the start of the process in milliseconds.
-     * @param leaseMillis The time between an act before the duties were lost and one after, in milliseconds.
-     * @param validMillis The age of the last join up to which the holder acts, in milliseconds.
+     * @param startMillis The monotonic time of the process start in milliseconds.
+     * @param leaseMillis The time in milliseconds after which a previous leader has certainly stopped.
+     * @param validityMillis The age of the last join up to which the leader acts, in milliseconds.
      */
-    public LeaderLease(long startMillis, long leaseMillis, long validMillis) {
-        this.earlierActMillis = startMillis;
-        this.actedMillis = startMillis;
+    public LeaderLease(long startMillis, long leaseMillis, long validityMillis) {
+        this.previousTermActionMillis = startMillis;
+        this.lastActionMillis = startMillis;
         this.leaseMillis = leaseMillis;
-        this.validMillis = validMillis;
+        this.validityMillis = validityMillis;
     }
 
     /**
-     * Notes a successful join.
+     * Records a successful join.
      *
      * @param sentMillis The monotonic time at which it was sent, in milliseconds.
-     * @param sentWallMillis The time of day at which it was sent, in milliseconds of the epoch.
-     * @param share What the host holds.
+     * @param sentWallMillis The wall-clock time at which it was sent, in milliseconds since the epoch.
      */
-    public void joined(long sentMillis, long sentWallMillis, GroupAssignment share) {
-        if (held && (!share.holdsFirst() || !isValid(sentMillis, sentWallMillis))) {
-            earlierActMillis = actedMillis;
+    public void recordJoin(long sentMillis, long sentWallMillis, GroupAssignment share) {
+        if (leading && (!share.holdsFirst() || !isValid(sentMillis, sentWallMillis))) {
+            previousTermActionMillis = lastActionMillis;
         }
-        held = share.holdsFirst();
+        leading = share.holdsFirst();
         generation = share.generation();
-        joined = new Confirmation(sentMillis, sentWallMillis);
+        lastJoin = new Confirmation(sentMillis, sentWallMillis);
     }
 
     /**
-     * Notes an act.
+     * Records that the host acts as the leader.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public void acted(long nowMillis) {
-        actedMillis = nowMillis;
+    public void recordAction(long nowMillis) {
+        lastActionMillis = nowMillis;
     }
 
-    /**
-     * Notes that a token was refused since a higher one had been used.
-     *
-     * @param token The token.
-     */
-    public void refused(long token) {
-        refused = Math.max(refused, token);
+    /** Records that a token was rejected since a higher one had been used. */
+    public void recordFenced(long fencedToken) {
+        highestFencedToken = Math.max(highestFencedToken, fencedToken);
     }
 
-    /**
-     * Returns the generation of the last join.
-     *
-     * @return The generation, or 0 before the first join.
-     */
+    /** Returns the generation of the last join; 0 before the first. */
     public long generation() {
         return generation;
     }
 
     /**
-     * Returns the fencing token while the host may act.
+     * Returns the fencing token while the host may act as the leader, or empty.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param nowWallMillis The present time of day in milliseconds of the epoch.
-     * @return The token, or nothing if the host may not act.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param nowWallMillis The current wall-clock time in milliseconds since the epoch.
      */
-    public OptionalLong token(long nowMillis, long nowWallMillis) {
-        boolean mayAct = held
+    public OptionalLong fencingToken(long nowMillis, long nowWallMillis) {
+        boolean mayLead = leading
                 && isValid(nowMillis, nowWallMillis)
-                && nowMillis - earlierActMillis >= leaseMillis
-                && generation > refused;
-        return mayAct ? OptionalLong.of(generation) : OptionalLong.empty();
+                && nowMillis - previousTermActionMillis >= leaseMillis
+                && generation > highestFencedToken;
+        return mayLead ? OptionalLong.of(generation) : OptionalLong.empty();
     }
 
-    /**
-     * Tells whether the last join is recent.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param nowWallMillis The present time of day in milliseconds of the epoch.
-     * @return Whether it is recent.
-     */
     private boolean isValid(long nowMillis, long nowWallMillis) {
-        OptionalLong age = joined.ageMillis(nowMillis, nowWallMillis);
-        return age.isPresent() && age.getAsLong() < validMillis;
+        OptionalLong age = lastJoin.ageMillis(nowMillis, nowWallMillis);
+        return age.isPresent() && age.getAsLong() < validityMillis;
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/PendingUsageCounts.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/PendingUsageCounts.java
@@ -9,75 +9,57 @@
 import java.util.TreeMap;
 
 /**
- * The counts that this host and those that hand theirs to it have still to write.
+ * The usage counts of this host, and of hosts that forward theirs to it, that are not written to the shared log yet.
  *
- * <p>Invariants: counts are cumulative, so that a lower one of the same start of a host and window is an older one and is
- * dropped; counts are written again only once they rose. Used by one thread.
+ * <p>Invariants: counts are cumulative, so that a lower count of the same host incarnation and window is outdated and
+ * ignored; a count becomes due for writing only when it increases. Not thread-safe.
  */
 public final class PendingUsageCounts {
 
-    /** The windows that are remembered. */
-    private static final int REMEMBERED_WINDOWS = 12;
+    private static final int RETAINED_WINDOWS = 12;
 
-    /** The counts by window and start of a host. */
+    /** By window, host incarnation and customer. */
     private final TreeMap<Long, Map<String, Map<String, Long>>> counts = new TreeMap<>();
 
-    /** What rose since it was last taken. */
+    /** The counts that increased since they were last drained. */
     private final Set<Origin> changed = new LinkedHashSet<>();
 
-    /**
-     * Takes the counts of a window at a start of a host.
-     *
-     * @param count The counts.
-     */
-    public void take(UsageCount count) {
-        Map<String, Long> known = counts.computeIfAbsent(count.window(), window -> new HashMap<>())
+    /** Merges the counts of one window and host incarnation. */
+    public void merge(UsageCount count) {
+        Map<String, Long> current = counts.computeIfAbsent(count.window(), window -> new HashMap<>())
                 .computeIfAbsent(count.incarnation(), incarnation -> new HashMap<>());
         count.byCustomer().forEach((customer, number) -> {
-            if (number > known.getOrDefault(customer, 0L)) {
-                known.put(customer, number);
+            if (number > current.getOrDefault(customer, 0L)) {
+                current.put(customer, number);
                 changed.add(new Origin(count.window(), count.incarnation()));
             }
         });
-        while (counts.size() > REMEMBERED_WINDOWS) {
-            long forgotten = counts.pollFirstEntry().getKey();
-            changed.removeIf(origin -> origin.window() == forgotten);
+        while (counts.size() > RETAINED_WINDOWS) {
+            long expired = counts.pollFirstEntry().getKey();
+            changed.removeIf(origin -> origin.window() == expired);
         }
     }
 
-    /**
-     * Takes the counts that rose.
-     *
-     * @return The counts.
-     */
-    public List<UsageCount> takeChanged() {
-        List<UsageCount> taken = new ArrayList<>();
+    /** Removes and returns the counts that increased. */
+    public List<UsageCount> drainChanged() {
+        List<UsageCount> drained = new ArrayList<>();
         for (Origin origin : changed) {
             Map<String, Long> byCustomer = counts.get(origin.window()).get(origin.incarnation());
-            taken.add(new UsageCount(origin.incarnation(), origin.window(), byCustomer));
+            drained.add(new UsageCount(origin.incarnation(), origin.window(), byCustomer));
         }
         changed.clear();
-        return taken;
+        return drained;
     }
 
-    /**
-     * Marks counts as to be written again, since that failed.
-     *
-     * @param taken The counts.
-     */
-    public void giveBack(List<UsageCount> taken) {
-        for (UsageCount count : taken) {
+    /** Marks counts as due again after a failed write. */
+    public void requeue(List<UsageCount> drained) {
+        for (UsageCount count : drained) {
             if (counts.containsKey(count.window())) {
                 changed.add(new Origin(count.window(), count.incarnation()));
             }
         }
     }
 
-    /**
-     * Where counts come from.
-     *
-     * @param window The window.
-     * @param incarnation The start of the host.
-     */
+    /** The window and host incarnation that counts belong to. */
     private record Origin(long window, String incarnation) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/UsageCounter.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/UsageCounter.java
@@ -5,36 +5,27 @@
 import java.util.TreeMap;
 
 /**
- * Counts the requests that began to run, by window of the time of day and customer.
+ * Counts the requests that started running, by usage window and customer. A window is an interval of wall-clock time.
  *
- * <p>Counts are cumulative by window, so that a record that is lost or written twice does no harm. Safe for use by several
- * threads.
+ * <p>Counts are cumulative within a window, so that lost or duplicate records do no harm. Thread-safe.
  */
 public final class UsageCounter {
 
-    /** The windows that are remembered. */
-    private static final int REMEMBERED_WINDOWS = 12;
+    private static final int RETAINED_WINDOWS = 12;
 
-    /** The length of a window in milliseconds. */
     private final long windowMillis;
 
-    /** The counts by window and customer. */
+    /** By window and customer. */
     private final TreeMap<Long, Map<String, Long>> windows = new TreeMap<>();
 
-    /**
-     * Creates a counter.
-     *
-     * @param windowMillis The length of a window in milliseconds.
-     */
     public UsageCounter(long windowMillis) {
         this.windowMillis = windowMillis;
     }
 
     /**
-     * Returns the window of a time.
+     * Returns the number of the window that contains a time.
      *
-     * @param wallMillis The time of day in milliseconds of the epoch.
-     * @return The number of the window.
+     * @param wallMillis The wall-clock time in milliseconds since the epoch.
      */
     public long windowAt(long wallMillis) {
         return Math.floorDiv(wallMillis, windowMillis);
@@ -43,22 +34,20 @@
     /**
      * Counts a request.
      *
-     * @param wallMillis The time of day at which it began, in milliseconds of the epoch.
-     * @param customer The customer.
+     * @param wallMillis The wall-clock time at which it started, in milliseconds since the epoch.
      */
     public synchronized void count(long wallMillis, String customer) {
         long window = windowAt(wallMillis);
         windows.computeIfAbsent(window, number -> new HashMap<>()).merge(customer, 1L, Long::sum);
-        while (windows.size() > REMEMBERED_WINDOWS) {
+        while (windows.size() > RETAINED_WINDOWS) {
             windows.pollFirstEntry();
         }
     }
 
     /**
-     * Returns the counts of the newest windows.
+     * Returns the counts of the newest windows, by window and customer.
      *
-     * @param number The number of windows.
-     * @return The counts by window and customer.
+     * @param number The maximum number of windows.
      */
     public synchronized Map<Long, Map<String, Long>> newest(int number) {
         Map<Long, Map<String, Long>> newest = new TreeMap<>();
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/package-info.java
@@ -1,2 +1,2 @@
-/** What one host does for all: usage reports and orders of backend servers. */
+/** The work that one elected host does for all hosts: usage reports and orders of backend servers. */
 package org.cranberrygauge.proxy.leader;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/AttemptHistory.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/AttemptHistory.java
@@ -1,24 +1,18 @@
 package org.cranberrygauge.proxy.retry;
 
 /**
- * What happened to a request so far.
+ * What has happened to a request so far. Immutable.
  *
- * @param sent The attempts that reached a connection.
- * @param failedConnects The connects that failed.
- * @param mayHaveRun Whether an attempt may have run.
- * @param streaming Whether the caller has received the start of the answer.
+ * @param sent The attempts whose connection was established.
+ * @param failedConnects The attempts whose connection could not be established.
+ * @param mayHaveRun Whether any attempt may have run.
+ * @param streaming Whether the caller has received the start of the response.
  */
 public record AttemptHistory(int sent, int failedConnects, boolean mayHaveRun, boolean streaming) {
 
-    /** A request that was not attempted yet. */
     public static final AttemptHistory NONE = new AttemptHistory(0, 0, false, false);
 
-    /**
-     * Returns a history with one more attempt.
-     *
-     * @param outcome How the attempt ended.
-     * @return The history.
-     */
+    /** Returns a history with one more attempt. */
     public AttemptHistory withOutcome(AttemptOutcome outcome) {
         return switch (outcome) {
             case NOT_CONNECTED -> new AttemptHistory(sent, failedConnects + 1, mayHaveRun, streaming);
@@ -27,11 +21,7 @@
         };
     }
 
-    /**
-     * Returns a history in which the caller has received the start of the answer.
-     *
-     * @return The history.
-     */
+    /** Returns a history in which the caller has received the start of the response. */
     public AttemptHistory withStart() {
         return new AttemptHistory(sent, failedConnects, mayHaveRun, true);
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/AttemptOutcome.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/AttemptOutcome.java
@@ -1,15 +1,15 @@
 package org.cranberrygauge.proxy.retry;
 
-/** How one attempt at a backend server ended. */
+/** How one attempt at a backend server failed. */
 public enum AttemptOutcome {
-    /** No connection came about, so that nothing was sent. */
+    /** No connection was established, so that nothing was sent. */
     NOT_CONNECTED,
-    /** The backend server said that it did not run the request. */
+    /** The backend server stated that it did not run the request. */
     NOT_RUN,
-    /** The connection broke, or the answer can't be used, before anything was passed on; the request may have run. */
+    /** The connection broke or the response was unusable before anything was forwarded; the request may have run. */
     BROKEN,
-    /** The backend server answered that it failed. */
+    /** The backend server responded with a server error. */
     SERVER_ERROR,
-    /** The stream broke after events were passed on. */
+    /** The stream broke after events had been forwarded. */
     STREAM_BROKEN
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/CrashTracker.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/CrashTracker.java
@@ -7,110 +7,87 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts how often requests broke the connection to a backend server before it answered, over all hosts.
+ * Counts over all hosts how often a request broke the connection to a backend server before the response.
  *
- * <p>A request that does so again and again probably crashes the servers that run it, and is refused for a time. Invariant:
- * a bounded number of requests is remembered. Safe for use by several threads.
+ * <p>A request that does so repeatedly probably crashes the servers that run it, and is blocked for a time. Invariant:
+ * the number of tracked requests is bounded. Thread-safe.
  */
 public final class CrashTracker {
 
-    /** The crashes from which a request is refused. */
-    private static final int REFUSED_FROM_CRASHES = 3;
+    /** The number of crashes from which a request is blocked. */
+    private static final int BLOCKING_CRASHES = 3;
 
-    /** The time for which crashes are remembered, in milliseconds. */
-    private static final long REMEMBERED_MILLIS = 60_000;
+    /** The time for which crashes seen by this host are retained. */
+    private static final long RETENTION_MILLIS = 60_000;
 
-    /** The number of requests that are remembered. */
+    /** The maximum number of requests tracked for this host; the oldest are evicted. */
     private static final int CAPACITY = 512;
 
-    /** The crashes that this host saw, by fingerprint. */
-    private final Map<Long, Crashes> own = new LinkedHashMap<>();
+    /** The crashes seen by this host, by fingerprint. */
+    private final Map<Long, Crashes> local = new LinkedHashMap<>();
 
-    /** The crashes that other hosts saw, by host and fingerprint. */
-    private final Map<String, Map<Long, Integer>> others = new HashMap<>();
+    /** The crashes seen by other hosts, by host and fingerprint. */
+    private final Map<String, Map<Long, Integer>> remote = new HashMap<>();
 
     /**
-     * Notes a crash.
+     * Records a crash seen by this host.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param fingerprint The fingerprint of the request.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public synchronized void note(long nowMillis, long fingerprint) {
-        Crashes before = own.remove(fingerprint);
-        own.put(fingerprint, new Crashes(before == null ? 1 : before.count() + 1, nowMillis));
-        Iterator<Long> oldest = own.keySet().iterator();
-        while (own.size() > CAPACITY && oldest.hasNext()) {
+    public synchronized void record(long nowMillis, long fingerprint) {
+        Crashes previous = local.remove(fingerprint);
+        local.put(fingerprint, new Crashes(previous == null ? 1 : previous.count() + 1, nowMillis));
+        Iterator<Long> oldest = local.keySet().iterator();
+        while (local.size() > CAPACITY && oldest.hasNext()) {
             oldest.next();
             oldest.remove();
         }
     }
 
     /**
-     * Takes the crashes that another host saw.
+     * Replaces the crashes seen by another host.
      *
-     * @param host The host.
-     * @param crashes All its crashes by fingerprint.
+     * @param crashes All crashes of that host by fingerprint.
      */
-    public synchronized void takeOthers(String host, Map<Long, Integer> crashes) {
+    public synchronized void replaceRemote(String host, Map<Long, Integer> crashes) {
         if (crashes.isEmpty()) {
-            others.remove(host);
+            remote.remove(host);
         } else {
-            others.put(host, Map.copyOf(crashes));
+            remote.put(host, Map.copyOf(crashes));
         }
     }
 
     /**
-     * Returns the crashes that this host saw, after forgetting old ones.
+     * Removes expired crashes and returns the remaining crashes seen by this host, by fingerprint.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The crashes by fingerprint.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public synchronized Map<Long, Integer> own(long nowMillis) {
-        own.values().removeIf(crashes -> nowMillis - crashes.lastMillis() > REMEMBERED_MILLIS);
+    public synchronized Map<Long, Integer> local(long nowMillis) {
+        local.values().removeIf(crashes -> nowMillis - crashes.lastMillis() > RETENTION_MILLIS);
         Map<Long, Integer> counts = new HashMap<>();
-        own.forEach((fingerprint, crashes) -> counts.put(fingerprint, crashes.count()));
+        local.forEach((fingerprint, crashes) -> counts.put(fingerprint, crashes.count()));
         return counts;
     }
 
-    /**
-     * Tells whether no crash is known.
-     *
-     * @return Whether no crash is known.
-     */
     public synchronized boolean isEmpty() {
-        return own.isEmpty() && others.isEmpty();
+        return local.isEmpty() && remote.isEmpty();
     }
 
-    /**
-     * Tells whether a request is refused; its fingerprint is computed only if a crash is known.
-     *
-     * @param fingerprint Computes the fingerprint of the request.
-     * @return Whether it is refused.
-     */
-    public boolean refuses(LongSupplier fingerprint) {
-        return !isEmpty() && refuses(fingerprint.getAsLong());
+    /** Tells whether a request is blocked; the fingerprint is computed only if any crash is known. */
+    public boolean isBlocked(LongSupplier fingerprint) {
+        return !isEmpty() && isBlocked(fingerprint.getAsLong());
     }
 
-    /**
-     * Tells whether a request is refused.
-     *
-     * @param fingerprint The fingerprint of the request.
-     * @return Whether it is refused.
-     */
-    public synchronized boolean refuses(long fingerprint) {
-        Crashes seen = own.get(fingerprint);
-        int total = seen == null ? 0 : seen.count();
-        for (Map<Long, Integer> counts : others.values()) {
+    /** Tells whether a request is blocked. */
+    public synchronized boolean isBlocked(long fingerprint) {
+        Crashes localCrashes = local.get(fingerprint);
+        int total = localCrashes == null ? 0 : localCrashes.count();
+        for (Map<Long, Integer> counts : remote.values()) {
             total += counts.getOrDefault(fingerprint, 0);
         }
-        return total >= REFUSED_FROM_CRASHES;
+        return total >= BLOCKING_CRASHES;
     }
 
-    /**
-     * The crashes of a request.
-     *
-     * @param count Their number.
-     * @param lastMillis The monotonic time of the last.
-     */
+    /** The number of crashes of one request, and the monotonic time of the last one. */
     private record Crashes(int count, long lastMillis) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/NextStep.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/NextStep.java
@@ -2,14 +2,14 @@
 
 /** What follows a failed attempt. */
 public enum NextStep {
-    /** The request goes to another backend server. */
+    /** The request is sent to another backend server. */
     TRY_ANOTHER,
-    /** The caller is told that the request has not run and when to come back. */
+    /** The request is rejected as not run, with a Retry-After header. */
     REFUSE,
-    /** The caller is told that the request may have run. */
+    /** The response states that the request may have run. */
     REPORT_UNKNOWN,
-    /** The answer of the backend server is passed on as it is. */
+    /** The response of the backend server is forwarded unchanged. */
     PASS_ON,
-    /** The connection to the caller ends without the end of the stream. */
+    /** The connection to the caller is closed without the end of the stream. */
     CUT
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/WindowedRetryBudget.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/WindowedRetryBudget.java
@@ -1,104 +1,85 @@
 package org.cranberrygauge.proxy.retry;
 
 /**
- * One host's part of the budget of repeats that all hosts share for a pool.
+ * This host's part of a retry budget that all hosts share for a pool.
  *
- * <p>The whole budget allows, in any window, a share of the requests of that window and a fixed number besides. A host takes
- * the share of its own requests and an equal part of the fixed number. Times are counted in slots of a window, and a window
- * is rounded up by one slot, so that no sliding window exceeds the bound. Used by one thread.
+ * <p>The shared budget allows, in any window, a ratio of the requests of that window plus a fixed allowance. A host may
+ * use the ratio of its own requests and an equal part of the allowance. Time is divided into slots, and a window is
+ * rounded up by one slot, so that no sliding window exceeds the bound. Not thread-safe.
  */
 public final class WindowedRetryBudget {
 
-    /** The slots that a window is cut into. */
-    private static final int SLOTS = 10;
+    private static final int SLOTS_PER_WINDOW = 10;
 
-    /** The part of the budget that is used, which leaves room for hosts that are not known yet. */
-    private static final double USED_PART = 0.8;
+    /** The fraction of the budget that is used; the rest is reserved for hosts that are not known yet. */
+    private static final double USABLE_FRACTION = 0.8;
 
-    /** The slots that are remembered. */
-    private static final int REMEMBERED = SLOTS + 1;
+    /** One more than in a window, since a window that starts within a slot touches one more. */
+    private static final int RETAINED_SLOTS = SLOTS_PER_WINDOW + 1;
 
-    /** The length of a slot in milliseconds. */
     private final long slotMillis;
 
-    /** The repeats allowed for each request. */
+    /** The retries allowed for each request. */
     private final double ratio;
 
-    /** The repeats allowed besides, for all hosts together. */
-    private final double extra;
+    /** The retries allowed in addition, for all hosts together. */
+    private final double allowance;
 
-    /** The requests by slot. */
-    private final long[] requests = new long[REMEMBERED];
+    private final long[] requests = new long[RETAINED_SLOTS];
 
-    /** The repeats by slot. */
-    private final long[] repeats = new long[REMEMBERED];
+    private final long[] retries = new long[RETAINED_SLOTS];
 
-    /** The number of the newest slot. */
-    private long newest;
+    private long newestSlot;
 
     /**
-     * Creates a budget.
-     *
      * @param windowMillis The length of the window in milliseconds.
-     * @param ratio The repeats allowed for each request.
-     * @param extra The repeats allowed besides, for all hosts together.
+     * @param ratio The retries allowed for each request.
+     * @param allowance The retries allowed in addition in each window, for all hosts together.
      */
-    public WindowedRetryBudget(long windowMillis, double ratio, double extra) {
-        this.slotMillis = windowMillis / SLOTS;
+    public WindowedRetryBudget(long windowMillis, double ratio, double allowance) {
+        this.slotMillis = windowMillis / SLOTS_PER_WINDOW;
         this.ratio = ratio;
-        this.extra = extra;
+        this.allowance = allowance;
     }
 
     /**
-     * Notes a request of a caller.
+     * Records a request of a caller.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public void noteRequest(long nowMillis) {
+    public void recordRequest(long nowMillis) {
         requests[advance(nowMillis)]++;
     }
 
     /**
-     * Takes one repeat if the budget allows it.
+     * Takes one retry from the budget if it allows one.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      * @param hosts The number of hosts that share the budget.
-     * @return Whether the repeat is allowed.
      */
-    public boolean tryTake(long nowMillis, int hosts) {
+    public boolean tryAcquire(long nowMillis, int hosts) {
         int slot = advance(nowMillis);
-        double allowed = USED_PART * (ratio * total(requests) + extra / Math.max(1, hosts));
-        if (total(repeats) + 1 > allowed) {
+        double allowed = USABLE_FRACTION * (ratio * total(requests) + allowance / Math.max(1, hosts));
+        if (total(retries) + 1 > allowed) {
             return false;
         }
-        repeats[slot]++;
+        retries[slot]++;
         return true;
     }
 
-    /**
-     * Clears the slots that have passed.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The index of the present slot.
-     */
+    /** Clears the slots that have expired and returns the index of the current slot. */
     private int advance(long nowMillis) {
-        long number = Math.floorDiv(nowMillis, slotMillis);
-        long first = Math.max(newest + 1, number - REMEMBERED + 1);
-        for (long passed = first; passed <= number; passed++) {
-            int index = (int) Math.floorMod(passed, (long) REMEMBERED);
+        long current = Math.floorDiv(nowMillis, slotMillis);
+        long firstExpired = Math.max(newestSlot + 1, current - RETAINED_SLOTS + 1);
+        for (long expired = firstExpired; expired <= current; expired++) {
+            int index = (int) Math.floorMod(expired, (long) RETAINED_SLOTS);
             requests[index] = 0;
-            repeats[index] = 0;
+            retries[index] = 0;
         }
-        newest = Math.max(newest, number);
-        return (int) Math.floorMod(newest, (long) REMEMBERED);
+        newestSlot = Math.max(newestSlot, current);
+        return (int) Math.floorMod(newestSlot, (long) RETAINED_SLOTS);
     }
 
-    /**
-     * Adds up slots.
-     *
-     * @param slots The slots.
-     * @return The sum.
-     */
     private static long total(long[] slots) {
         long sum = 0;
         for (long count : slots) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** What follows a failed attempt, and the budget that all repeats draw on. */
+/** What follows a failed attempt, and the budget that all retries draw on. */
 package org.cranberrygauge.proxy.retry;
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/FleetPlanTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/FleetPlanTest.java
@@ -11,7 +11,10 @@
 import org.cranberrygauge.proxy.configuration.FleetLimits;
 import org.junit.jupiter.api.Test;
 
-/** Answers the patterns of a calm day with dear engines and of the reclaim of a whole data centre. */
+/**
+ * Guards the cost of the fleet in normal operation and its recovery after the provider reclaims all cheap servers of a
+ * data centre.
+ */
 class FleetPlanTest {
 
     private static final FleetLimits LIMITS = new FleetLimits(1, 8, 4_000, 0.22, Map.of("a", 1.0, "b", 0.8, "c", 1.25));
@@ -27,7 +30,7 @@
     }
 
     @Test
-    void spreadsCheapOnesAndKeepsRegularOnesUntilTheyAreReady() {
+    void spreadsCheapServersAndKeepsRegularOnesUntilTheyAreReady() {
         List<BackendOrder> orders = settled(regular(8), 0);
         assertThat(orders).extracting(BackendOrder::supply).containsOnly(Supply.CHEAP);
         assertThat(orders.stream().mapToInt(BackendOrder::number).sum()).isEqualTo(10);
@@ -35,7 +38,7 @@
     }
 
     @Test
-    void handsRegularOnesBackOnceCheapOnesAreReady() {
+    void releasesRegularServersOnceCheapOnesAreReady() {
         settled(regular(8), 0);
         List<Backend> present = regular(8);
         present.addAll(cheap(4, 3, 3));
@@ -45,13 +48,13 @@
     }
 
     @Test
-    void aDataCentreThatHasNoneToGiveIsLeftOutForAWhile() {
+    void aDataCentreWithoutAvailableCapacityIsSkippedForATime() {
         List<BackendOrder> first = settled(regular(8), 0);
-        BackendOrder dry = first.stream()
+        BackendOrder unavailable = first.stream()
                 .filter(order -> order.dataCentre().equals("c"))
                 .findFirst()
                 .orElseThrow();
-        plan.turnedAway(5_600, dry);
+        plan.orderRejected(5_600, unavailable);
         List<BackendOrder> next = decide(6_000, LIMITS, regular(8), 5);
         assertThat(next)
                 .contains(new BackendOrder("engines", "a", Supply.CHEAP, 5))
@@ -59,19 +62,19 @@
     }
 
     @Test
-    void regularOnesComeBackForCheapOnesThatDoNotCome() {
+    void regularServersReplaceCheapOnesThatDoNotArrive() {
         settled(regular(8), 0);
         decide(9_000, LIMITS, with(regular(1), cheap(4, 3, 3)), 8);
         List<Backend> reclaimed = with(regular(1), cheap(0, 3, 3));
         decide(20_000, LIMITS, reclaimed, 8);
-        plan.turnedAway(20_100, new BackendOrder("engines", "b", Supply.CHEAP, 4));
+        plan.orderRejected(20_100, new BackendOrder("engines", "b", Supply.CHEAP, 4));
         decide(20_500, LIMITS, reclaimed, 8);
         List<BackendOrder> orders = decide(28_000, LIMITS, reclaimed, 8);
         assertThat(orders).anySatisfy(order -> assertThat(order.supply()).isEqualTo(Supply.REGULAR));
     }
 
     @Test
-    void growsWithTheDemandAtOnceAndShrinksSlowly() {
+    void growsAtOnceWithTheDemandAndShrinksSlowly() {
         settled(regular(8), 0);
         List<BackendOrder> grown = decide(6_000, LIMITS, regular(8), 13);
         assertThat(grown.stream()
@@ -87,8 +90,8 @@
     }
 
     @Test
-    void regularOnesReplaceOnlyWhatTheDemandNeedsWhereCheapOnesAreDry() {
-        List<BackendOrder> orders = ordersForAReclaimWhileAllAreDry();
+    void regularServersReplaceUnavailableCheapOnesOnlyAsTheDemandRequires() {
+        List<BackendOrder> orders = ordersAfterAReclaimWithoutAvailableCapacity();
         assertThat(orders.stream()
                         .filter(order -> order.supply() == Supply.REGULAR)
                         .mapToInt(BackendOrder::number)
@@ -97,19 +100,19 @@
     }
 
     @Test
-    void aDataCentreWithNoneToGiveKeepsThoseThatAreThere() {
-        assertThat(ordersForAReclaimWhileAllAreDry())
+    void aDataCentreWithoutAvailableCapacityKeepsItsServers() {
+        assertThat(ordersAfterAReclaimWithoutAvailableCapacity())
                 .noneMatch(order -> order.supply() == Supply.CHEAP && order.number() < 3);
     }
 
     @Test
-    void aSuccessorReplacesALostDataCentreAtOnce() {
+    void aNewLeaderReplacesALostDataCentreAtOnce() {
         List<Backend> before = with(regular(1), cheap(4, 3, 3));
         plan.observe(0, LIMITS, before, 5);
         plan.observe(6_000, LIMITS, before, 5);
         List<Backend> reclaimed = with(regular(1), cheap(0, 3, 3));
         plan.observe(7_800, LIMITS, reclaimed, 5);
-        plan.takeOver();
+        plan.beginTerm();
         List<BackendOrder> orders = plan.decide(7_800, LIMITS, reclaimed);
         assertThat(orders).contains(new BackendOrder("engines", "b", Supply.CHEAP, 5));
         assertThat(orders.stream()
@@ -120,33 +123,34 @@
     }
 
     @Test
-    void aHostThatHoldsTheDutiesAgainStatesItsOrdersAnew() {
+    void aHostThatLeadsAgainRepeatsItsOrders() {
         List<BackendOrder> first = settled(regular(8), 0);
         assertThat(decide(5_600, LIMITS, regular(8), 0)).isEmpty();
-        plan.takeOver();
+        plan.beginTerm();
         assertThat(decide(5_700, LIMITS, regular(8), 0)).isEqualTo(first);
     }
 
-    private List<BackendOrder> ordersForAReclaimWhileAllAreDry() {
+    private List<BackendOrder> ordersAfterAReclaimWithoutAvailableCapacity() {
         settled(regular(8), 0);
         decide(9_000, LIMITS, with(regular(1), cheap(4, 3, 3)), 4);
         List<Backend> reclaimed = with(regular(1), cheap(0, 3, 3));
         List<BackendOrder> orders = new ArrayList<>(decide(20_000, LIMITS, reclaimed, 4));
         for (String dataCentre : List.of("a", "b", "c")) {
-            plan.turnedAway(20_100, new BackendOrder("engines", dataCentre, Supply.CHEAP, 4));
+            plan.orderRejected(20_100, new BackendOrder("engines", dataCentre, Supply.CHEAP, 4));
         }
         orders.addAll(decide(20_500, LIMITS, reclaimed, 4));
         return orders;
     }
 
-    private List<BackendOrder> decide(long nowMillis, FleetLimits limits, List<Backend> present, double needed) {
-        plan.observe(nowMillis, limits, present, needed);
+    private List<BackendOrder> decide(
+            long nowMillis, FleetLimits limits, List<Backend> present, double demandedServers) {
+        plan.observe(nowMillis, limits, present, demandedServers);
         return plan.decide(nowMillis, limits, present);
     }
 
-    private List<BackendOrder> settled(List<Backend> present, double needed) {
-        decide(0, LIMITS, present, needed);
-        return decide(5_000, LIMITS, present, needed);
+    private List<BackendOrder> settled(List<Backend> present, double demandedServers) {
+        decide(0, LIMITS, present, demandedServers);
+        return decide(5_000, LIMITS, present, demandedServers);
     }
 
     private static int cheapTotal(List<BackendOrder> orders, int before) {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/JumpTolerantTimeSourceTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/JumpTolerantTimeSourceTest.java
@@ -13,7 +13,7 @@
 
     private long jump;
 
-    private final TimeSource steady = new JumpTolerantTimeSource(new TimeSource() {
+    private final TimeSource tolerant = new JumpTolerantTimeSource(new TimeSource() {
         @Override
         public long monotonicMillis() {
             return now;
@@ -26,29 +26,29 @@
     });
 
     @Test
-    void ignoresAJumpThatGoesBack() {
+    void ignoresAJumpThatIsReverted() {
         jump = 2_000;
         now = 100;
-        assertThat(steady.wallMillis()).isEqualTo(EPOCH + 100);
+        assertThat(tolerant.wallMillis()).isEqualTo(EPOCH + 100);
         now = 6_000;
-        assertThat(steady.wallMillis()).isEqualTo(EPOCH + 6_000);
+        assertThat(tolerant.wallMillis()).isEqualTo(EPOCH + 6_000);
         jump = 0;
-        assertThat(steady.wallMillis()).isEqualTo(EPOCH + 6_000);
+        assertThat(tolerant.wallMillis()).isEqualTo(EPOCH + 6_000);
     }
 
     @Test
-    void takesOverAJumpThatLasts() {
+    void adoptsAJumpThatPersists() {
         jump = -3_000;
         now = 100;
-        steady.wallMillis();
+        tolerant.wallMillis();
         now = 12_100;
-        assertThat(steady.wallMillis()).isEqualTo(EPOCH + 12_100 - 3_000);
+        assertThat(tolerant.wallMillis()).isEqualTo(EPOCH + 12_100 - 3_000);
     }
 
     @Test
-    void followsSmallCorrections() {
+    void adoptsSmallCorrectionsAtOnce() {
         jump = 200;
         now = 100;
-        assertThat(steady.wallMillis()).isEqualTo(EPOCH + 300);
+        assertThat(tolerant.wallMillis()).isEqualTo(EPOCH + 300);
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/LeaderLeaseTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/LeaderLeaseTest.java
@@ -12,59 +12,59 @@
     private final LeaderLease lease = new LeaderLease(0, 3_000, 2_600);
 
     @Test
-    void aNewProcessWaitsForALeaseAndThenActsWithTheGeneration() {
+    void aNewProcessWaitsForALeaseAndThenUsesTheGenerationAsToken() {
         join(1_000, 5, true);
-        assertThat(token(2_000)).isEqualTo(-1);
+        assertThat(fencingToken(2_000)).isEqualTo(-1);
         join(3_000, 5, true);
-        assertThat(token(3_000)).isEqualTo(5);
+        assertThat(fencingToken(3_000)).isEqualTo(5);
     }
 
     @Test
-    void aHolderActsOnlyWhileItsLastJoinIsRecent() {
+    void aLeaderActsOnlyWhileItsLastJoinIsRecent() {
         join(10_000, 5, true);
-        assertThat(token(12_599)).isEqualTo(5);
-        assertThat(token(12_600)).isEqualTo(-1);
+        assertThat(fencingToken(12_599)).isEqualTo(5);
+        assertThat(fencingToken(12_600)).isEqualTo(-1);
     }
 
     @Test
     void aHostThatWasSuspendedDoesNotAct() {
         join(10_000, 5, true);
-        assertThat(lease.token(10_010, WALL + 15_000)).isEmpty();
+        assertThat(lease.fencingToken(10_010, WALL + 15_000)).isEmpty();
     }
 
     @Test
-    void aHostThatLostTheDutiesActsAgainOnlyALeaseAfterItsLastAct() {
+    void aFormerLeaderActsAgainOnlyALeaseAfterItsLastAction() {
         join(10_000, 5, true);
-        lease.acted(10_100);
+        lease.recordAction(10_100);
         join(10_900, 6, false);
-        assertThat(token(10_900)).isEqualTo(-1);
+        assertThat(fencingToken(10_900)).isEqualTo(-1);
         join(11_800, 7, true);
-        assertThat(token(11_800)).isEqualTo(-1);
+        assertThat(fencingToken(11_800)).isEqualTo(-1);
         join(13_100, 7, true);
-        assertThat(token(13_100)).isEqualTo(7);
+        assertThat(fencingToken(13_100)).isEqualTo(7);
     }
 
     @Test
-    void anotherHostActsAtOnceWhenItTakesTheDuties() {
+    void anotherHostActsAtOnceWhenItBecomesLeader() {
         join(10_000, 5, false);
         join(10_900, 6, true);
-        assertThat(token(10_900)).isEqualTo(6);
+        assertThat(fencingToken(10_900)).isEqualTo(6);
     }
 
     @Test
-    void aRefusedTokenIsNeverUsedAgain() {
+    void aFencedTokenIsNeverUsedAgain() {
         join(10_000, 5, true);
-        lease.refused(5);
-        assertThat(token(10_001)).isEqualTo(-1);
+        lease.recordFenced(5);
+        assertThat(fencingToken(10_001)).isEqualTo(-1);
         join(10_900, 6, true);
-        assertThat(token(10_900)).isEqualTo(6);
+        assertThat(fencingToken(10_900)).isEqualTo(6);
     }
 
-    private void join(long now, long generation, boolean holds) {
-        lease.joined(now, WALL + now, new GroupAssignment(generation, holds));
+    private void join(long now, long generation, boolean leads) {
+        lease.recordJoin(now, WALL + now, new GroupAssignment(generation, leads));
     }
 
-    private long token(long now) {
-        return lease.token(now, WALL + now).orElse(-1);
+    private long fencingToken(long now) {
+        return lease.fencingToken(now, WALL + now).orElse(-1);
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/PendingUsageCountsTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/PendingUsageCountsTest.java
@@ -8,46 +8,46 @@
 
 class PendingUsageCountsTest {
 
-    private final PendingUsageCounts gathering = new PendingUsageCounts();
+    private final PendingUsageCounts pending = new PendingUsageCounts();
 
     @Test
-    void takesTheCountsOfSeveralHostsAtOnce() {
-        gathering.take(count("host-1", 7, 3));
-        gathering.take(count("host-2", 7, 5));
-        assertThat(gathering.takeChanged()).containsExactly(count("host-1", 7, 3), count("host-2", 7, 5));
+    void mergesTheCountsOfSeveralHosts() {
+        pending.merge(count("host-1", 7, 3));
+        pending.merge(count("host-2", 7, 5));
+        assertThat(pending.drainChanged()).containsExactly(count("host-1", 7, 3), count("host-2", 7, 5));
     }
 
     @Test
-    void writesAgainOnlyWhatRose() {
-        gathering.take(count("host-1", 7, 3));
-        gathering.takeChanged();
-        gathering.take(count("host-1", 7, 3));
-        assertThat(gathering.takeChanged()).isEmpty();
-        gathering.take(count("host-1", 7, 4));
-        assertThat(gathering.takeChanged()).containsExactly(count("host-1", 7, 4));
+    void onlyIncreasedCountsAreDueAgain() {
+        pending.merge(count("host-1", 7, 3));
+        pending.drainChanged();
+        pending.merge(count("host-1", 7, 3));
+        assertThat(pending.drainChanged()).isEmpty();
+        pending.merge(count("host-1", 7, 4));
+        assertThat(pending.drainChanged()).containsExactly(count("host-1", 7, 4));
     }
 
     @Test
-    void aDatagramThatComesLateLowersNothing() {
-        gathering.take(count("host-1", 7, 4));
-        gathering.take(count("host-1", 7, 3));
-        assertThat(gathering.takeChanged()).containsExactly(count("host-1", 7, 4));
+    void aLateDatagramLowersNoCount() {
+        pending.merge(count("host-1", 7, 4));
+        pending.merge(count("host-1", 7, 3));
+        assertThat(pending.drainChanged()).containsExactly(count("host-1", 7, 4));
     }
 
     @Test
-    void whatCouldNotBeWrittenIsTakenAgain() {
-        gathering.take(count("host-1", 7, 4));
-        List<UsageCount> taken = gathering.takeChanged();
-        gathering.giveBack(taken);
-        assertThat(gathering.takeChanged()).isEqualTo(taken);
+    void requeuedCountsAreDueAgain() {
+        pending.merge(count("host-1", 7, 4));
+        List<UsageCount> drained = pending.drainChanged();
+        pending.requeue(drained);
+        assertThat(pending.drainChanged()).isEqualTo(drained);
     }
 
     @Test
-    void remembersABoundedNumberOfWindows() {
+    void retainsABoundedNumberOfWindows() {
         for (long window = 0; window < 40; window++) {
-            gathering.take(count("host-1", window, 1));
+            pending.merge(count("host-1", window, 1));
         }
-        assertThat(gathering.takeChanged()).hasSize(12).contains(count("host-1", 39, 1));
+        assertThat(pending.drainChanged()).hasSize(12).contains(count("host-1", 39, 1));
     }
 
     private static UsageCount count(String incarnation, long window, long number) {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/UsageCounterTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/leader/UsageCounterTest.java
@@ -10,7 +10,7 @@
     private final UsageCounter counter = new UsageCounter(5_000);
 
     @Test
-    void countsByWindowOfTheTimeOfDay() {
+    void countsByWallClockWindow() {
         counter.count(9_999, "a");
         counter.count(10_000, "a");
         counter.count(10_001, "b");
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void remembersABoundedNumberOfWindows() {
+    void retainsABoundedNumberOfWindows() {
         for (long window = 0; window < 40; window++) {
             counter.count(window * 5_000, "a");
         }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/RetryPolicyTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/RetryPolicyTest.java
@@ -11,7 +11,7 @@
     private static final long ENOUGH_MILLIS = 1_000;
 
     @Test
-    void aRequestThatMustRunOnceIsNeverSentAgainOnceItMayHaveRun() {
+    void anAtMostOnceRequestIsNeverRetriedOnceItMayHaveRun() {
         for (RouteKind kind : new RouteKind[] {RouteKind.AT_MOST_ONCE, RouteKind.STREAM}) {
             assertThat(after(kind, 3, AttemptOutcome.BROKEN)).isEqualTo(NextStep.REPORT_UNKNOWN);
             assertThat(after(kind, 3, AttemptOutcome.SERVER_ERROR)).isEqualTo(NextStep.PASS_ON);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aRequestThatHasNotRunMayGoElsewhereWhateverItsKind() {
+    void aRequestThatHasNotRunMayBeRetriedWhateverItsKind() {
         assertThat(after(RouteKind.AT_MOST_ONCE, 2, AttemptOutcome.NOT_RUN)).isEqualTo(NextStep.TRY_ANOTHER);
         assertThat(after(RouteKind.AT_MOST_ONCE, 1, AttemptOutcome.NOT_RUN)).isEqualTo(NextStep.REFUSE);
         assertThat(after(RouteKind.AT_MOST_ONCE, 1, AttemptOutcome.NOT_CONNECTED))
@@ -27,9 +27,9 @@
     }
 
     @Test
-    void aRequestGoesPastManyDeadEnginesAfterAThirdOfThemCrashed() {
+    void aRequestGetsPastManyDeadEnginesAfterAThirdOfThemCrashed() {
         AttemptHistory history = AttemptHistory.NONE;
-        for (int dead = 0; dead < 14; dead++) {
+        for (int attempt = 0; attempt < 14; attempt++) {
             history = history.withOutcome(AttemptOutcome.NOT_CONNECTED);
         }
         assertThat(RetryPolicy.next(
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aRefusalIsNeverGivenOnceTheRequestMayHaveRun() {
+    void aRequestThatMayHaveRunIsNeverRejectedAsNotRun() {
         AttemptHistory history =
                 AttemptHistory.NONE.withOutcome(AttemptOutcome.BROKEN).withOutcome(AttemptOutcome.NOT_RUN);
         assertThat(RetryPolicy.next(
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void anIdempotentRequestIsRepeatedUpToItsAttempts() {
+    void anIdempotentRequestIsRetriedUpToItsAttempts() {
         assertThat(after(RouteKind.IDEMPOTENT, 2, AttemptOutcome.SERVER_ERROR)).isEqualTo(NextStep.TRY_ANOTHER);
         assertThat(after(RouteKind.IDEMPOTENT, 1, AttemptOutcome.SERVER_ERROR)).isEqualTo(NextStep.PASS_ON);
         assertThat(after(RouteKind.IDEMPOTENT, 1, AttemptOutcome.BROKEN)).isEqualTo(NextStep.REPORT_UNKNOWN);
     }
 
     @Test
-    void aBrokenStreamIsResumedOrCutButNeverAnsweredTwice() {
+    void aBrokenStreamIsResumedOrCutButNeverRestarted() {
         AttemptHistory streaming = AttemptHistory.NONE.withStart().withOutcome(AttemptOutcome.STREAM_BROKEN);
         assertThat(RetryPolicy.next(
                         ProxyFixtures.route(RouteKind.RESUMABLE_STREAM, 2),
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void nothingIsSentAgainAtTheEndOfTheTime() {
+    void nothingIsRetriedJustBeforeTheDeadline() {
         assertThat(RetryPolicy.next(
                         ProxyFixtures.route(RouteKind.IDEMPOTENT, 3),
                         AttemptHistory.NONE.withOutcome(AttemptOutcome.NOT_RUN),
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/WindowedRetryBudgetTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/retry/WindowedRetryBudgetTest.java
@@ -12,7 +12,7 @@
     private static final long WINDOW_MILLIS = 10_000;
 
     @Test
-    void hostsTogetherStayBelowTheBoundInEverySlidingWindow() {
+    void allHostsTogetherStayWithinTheBoundInEverySlidingWindow() {
         int hosts = 4;
         List<WindowedRetryBudget> budgets = new ArrayList<>();
         for (int host = 0; host < hosts; host++) {
@@ -20,39 +20,39 @@
         }
         Random random = new Random(11);
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long now = 100_000; now < 160_000; now += 5) {
             WindowedRetryBudget budget = budgets.get(random.nextInt(hosts));
             if (random.nextInt(20) == 0) {
-                budget.noteRequest(now);
+                budget.recordRequest(now);
                 requests.add(now);
             }
-            if (budget.tryTake(now, hosts)) {
-                repeats.add(now);
+            if (budget.tryAcquire(now, hosts)) {
+                retries.add(now);
             }
         }
-        assertThat(repeats).isNotEmpty();
+        assertThat(retries).isNotEmpty();
         for (long start = 100_000; start < 150_000; start += 100) {
-            assertThat((double) within(repeats, start)).isLessThanOrEqualTo(0.2 * within(requests, start) + 54);
+            assertThat((double) within(retries, start)).isLessThanOrEqualTo(0.2 * within(requests, start) + 54);
         }
     }
 
     @Test
-    void allowsNothingWithoutRequestsAndSlack() {
+    void allowsNothingWithoutRequestsAndAllowance() {
         WindowedRetryBudget budget = new WindowedRetryBudget(WINDOW_MILLIS, 0.2, 0);
-        assertThat(budget.tryTake(1_000, 1)).isFalse();
+        assertThat(budget.tryAcquire(1_000, 1)).isFalse();
     }
 
     @Test
-    void forgetsRepeatsAfterTheWindow() {
+    void retriesExpireAfterTheWindow() {
         WindowedRetryBudget budget = new WindowedRetryBudget(WINDOW_MILLIS, 0, 5);
         int first = 0;
-        while (budget.tryTake(50_000, 1)) {
+        while (budget.tryAcquire(50_000, 1)) {
             first++;
         }
         assertThat(first).isEqualTo(4);
-        assertThat(budget.tryTake(59_999, 1)).isFalse();
-        assertThat(budget.tryTake(61_000, 1)).isTrue();
+        assertThat(budget.tryAcquire(59_999, 1)).isFalse();
+        assertThat(budget.tryAcquire(61_000, 1)).isTrue();
     }
 
     private static long within(List<Long> times, long start) {
