--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -17,8 +17,8 @@
 import org.cranberrygauge.proxy.control.HostNetwork;
 import org.cranberrygauge.proxy.control.LeaderElection;
 import org.cranberrygauge.proxy.control.PeerReportExchange;
+import org.cranberrygauge.proxy.control.UsageCountWriter;
 import org.cranberrygauge.proxy.control.UsageReportController;
-import org.cranberrygauge.proxy.control.UsageShipper;
 import org.cranberrygauge.proxy.exchange.BackendClient;
 import org.cranberrygauge.proxy.exchange.CallerHandler;
 import org.cranberrygauge.proxy.exchange.ExchangeContext;
@@ -75,7 +75,7 @@
     private final EventLog events;
 
     /** What the host believes. */
-    private final ProxyState board = new ProxyState();
+    private final ProxyState state = new ProxyState();
 
     /** The registry of the metrics. */
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -90,10 +90,10 @@
     private final Context traffic;
 
     /** Keeps the host in the group that deals the duties. */
-    private LeaderElection duty;
+    private LeaderElection election;
 
     /** Writes usage counts. */
-    private UsageShipper shipper;
+    private UsageCountWriter usageWriter;
 
     /**
      * Creates a process.
@@ -139,9 +139,9 @@
      * @return Whether it takes requests.
      */
     public boolean ready() {
-        ConfigurationView view = board.configuration();
-        return !board.draining()
-                && board.backends().known()
+        ConfigurationView view = state.configuration();
+        return !state.draining()
+                && state.backends().known()
                 && view.isFresh(time.monotonicMillis(), time.wallMillis(), keyBoundMillis());
     }
 
@@ -152,16 +152,16 @@
      */
     public int stop() {
         long startMillis = time.monotonicMillis();
-        board.drain(startMillis);
-        events.emit(new ProxyEvents.ProxyDraining(board.active().get()));
-        control.runOnContext(run -> duty.leave());
+        state.drain(startMillis);
+        events.emit(new ProxyEvents.ProxyDraining(state.active().get()));
+        control.runOnContext(run -> election.leave());
         DrainWait wait = new DrainWait(startMillis, settings.times().graceMillis());
-        while (!wait.isOver(time.monotonicMillis(), board.active().get())) {
+        while (!wait.isOver(time.monotonicMillis(), state.active().get())) {
             wait.pause();
         }
-        control.runOnContext(run -> shipper.ship());
+        control.runOnContext(run -> usageWriter.flush());
         wait.pause();
-        int active = board.active().get();
+        int active = state.active().get();
         events.emit(new ProxyEvents.ProxyStopped(active, time.monotonicMillis() - startMillis));
         return active;
     }
@@ -177,27 +177,27 @@
     private Future<Void> startControl(
             AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
-        ControllerContext tools = new ControllerContext(vertx, time, sources.log(), board, events);
+        ControllerContext context = new ControllerContext(vertx, time, sources.log(), state, events);
         String incarnation = Program.incarnation(settings.host(), time.wallMillis());
-        HostNetwork network = HostNetwork.of(tools, settings, sources.hostTopic());
+        HostNetwork network = HostNetwork.of(context, settings, sources.hostTopic());
         new ConfigurationFollower(
-                        tools,
+                        context,
                         network.relay(),
                         sources.configurationTopic(),
                         sources.configurationKey(),
                         sources.configurations(),
                         times.configurationMillis())
                 .start();
-        new BackendFollower(tools, network.relay(), sources.backendTopic(), sources.backends(), times.leavingMillis())
+        new BackendFollower(context, network.relay(), sources.backendTopic(), sources.backends(), times.leavingMillis())
                 .start();
-        duty = new LeaderElection(tools, network.relay(), incarnation, times.leaseMillis());
-        duty.start();
-        ControllerContext usageTools = new ControllerContext(vertx, usageTime, sources.log(), board, events);
-        shipper = new UsageShipper(usageTools, network, usage, incarnation);
-        shipper.start();
-        new UsageReportController(usageTools, duty, sources.duties(), times.usageWindowMillis()).start();
-        new FleetController(tools, duty, sources.duties(), ownWork).start();
-        return new PeerReportExchange(tools, settings, network, time.wallMillis(), crashes, placements, ownWork)
+        election = new LeaderElection(context, network.relay(), incarnation, times.leaseMillis());
+        election.start();
+        ControllerContext usageContext = new ControllerContext(vertx, usageTime, sources.log(), state, events);
+        usageWriter = new UsageCountWriter(usageContext, network, usage, incarnation);
+        usageWriter.start();
+        new UsageReportController(usageContext, election, sources.duties(), times.usageWindowMillis()).start();
+        new FleetController(context, election, sources.duties(), ownWork).start();
+        return new PeerReportExchange(context, settings, network, time.wallMillis(), crashes, placements, ownWork)
                 .start();
     }
 
@@ -216,10 +216,10 @@
         PoolWaitQueues lines = new PoolWaitQueues();
         ExchangeMetrics metrics = new ExchangeMetrics(registry);
         HostMetrics hostMetrics = new HostMetrics(registry);
-        ExchangeContext tools = new ExchangeContext(
+        ExchangeContext context = new ExchangeContext(
                 vertx,
                 time,
-                board,
+                state,
                 new BackendClient(vertx),
                 sources.dialect(),
                 new BackendChooser(settings.dataCentre(), loads, new SplittableRandom()),
@@ -237,10 +237,10 @@
         vertx.setPeriodic(PUBLISH_MILLIS, fired -> {
             placements.applyTo(loads);
             ownWork.set(loads.work());
-            loads.removeUnlisted(board.backends());
+            loads.removeUnlisted(state.backends());
             publish(hostMetrics, lines.size());
         });
-        return new IngressServer(vertx, new CallerHandler(tools, gate))
+        return new IngressServer(vertx, new CallerHandler(context, gate))
                 .listen(settings.front())
                 .compose(listening ->
                         new StatusServer(vertx, settings.readyPath(), this::ready, registry).listen(settings.status()));
@@ -253,13 +253,13 @@
      * @param waiting The requests that wait for room.
      */
     private void publish(HostMetrics metrics, int waiting) {
-        ConfigurationView view = board.configuration();
-        metrics.requests(board.active().get(), waiting);
+        ConfigurationView view = state.configuration();
+        metrics.requests(state.active().get(), waiting);
         metrics.beliefs(
                 view.configuration().map(known -> known.version()).orElse(-1L),
                 view.loggedAgeMillis(time.monotonicMillis()),
-                board.backends().all().size(),
-                board.peers().hosts(),
+                state.backends().all().size(),
+                state.peers().hosts(),
                 ready());
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
@@ -7,135 +7,122 @@
 import org.cranberrygauge.proxy.backend.Backend;
 import org.cranberrygauge.proxy.backend.BackendRegistry;
 import org.cranberrygauge.proxy.backend.BackendSnapshot;
-import org.cranberrygauge.proxy.control.TopicFollower.Pace;
+import org.cranberrygauge.proxy.control.TopicFollower.PollSettings;
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.cranberrygauge.proxy.store.KeyedRecord;
 import org.cranberrygauge.proxy.store.RecordReader;
 import org.cranberrygauge.proxy.store.UnreadableRecordException;
 
 /**
- * Keeps the catalogue of backend servers up to date from the entries that they write.
- *
- * <p>Used by one thread.
+ * Keeps the snapshot of backend servers up to date from the entries that they write to the shared log. Not thread-safe.
  */
 public final class BackendFollower implements TopicFollower.Listener {
 
-    /** The longest time that a read waits for a record, in milliseconds. */
-    private static final long WAIT_MILLIS = 500;
+    /** The maximum time that a read waits for a record. */
+    private static final long READ_WAIT_MILLIS = 500;
 
-    /** The keys whose unreadable entries are remembered, so that each is logged once. */
-    private static final int REMEMBERED_UNREADABLE = 200;
+    /** The number of keys with unreadable entries that are tracked, so that each is logged only once. */
+    private static final int MAXIMUM_UNREADABLE_KEYS = 200;
 
-    /** The part of the bound for leaving backend servers that a pause between reads takes. */
-    private static final double PAUSE_PART = 0.33;
+    /** The pause between reads as a fraction of the drain bound. */
+    private static final double PAUSE_FRACTION = 0.33;
 
-    /** The part of the bound for leaving backend servers that what another host read may be old. */
-    private static final double RELAYED_AGE_PART = 0.6;
+    /** The maximum age of a relayed read as a fraction of the drain bound. */
+    private static final double RELAYED_AGE_FRACTION = 0.6;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** The topic. */
     private final String topic;
 
-    /** Reads entries. */
     private final RecordReader<Backend> reader;
 
-    /** Reads through other hosts where that is possible. */
     private final TopicRelay relay;
 
-    /** The time within which a leaving backend server must get no more requests, in milliseconds. */
-    private final long boundMillis;
+    private final long drainBoundMillis;
 
-    /** The entries. */
-    private final BackendRegistry register = new BackendRegistry();
+    private final BackendRegistry registry = new BackendRegistry();
 
     /** The keys whose unreadable entries were logged. */
-    private final Set<String> unreadable = new HashSet<>();
+    private final Set<String> unreadableKeys = new HashSet<>();
 
-    /** The backend servers as they were last logged, by identifier. */
-    private Map<String, Backend> logged = new HashMap<>();
+    /** The backend servers as last logged, by identifier. */
+    private Map<String, Backend> lastLogged = new HashMap<>();
 
     /**
-     * Creates a follower.
-     *
-     * @param tools The tools.
-     * @param relay Reads through other hosts where that is possible.
-     * @param topic The topic.
-     * @param reader Reads entries.
-     * @param boundMillis The time within which a leaving backend server must get no more requests, in milliseconds.
+     * @param drainBoundMillis The time in milliseconds within which a draining backend server must receive no more
+     *     requests.
      */
     public BackendFollower(
-            ControllerContext tools, TopicRelay relay, String topic, RecordReader<Backend> reader, long boundMillis) {
+            ControllerContext context,
+            TopicRelay relay,
+            String topic,
+            RecordReader<Backend> reader,
+            long drainBoundMillis) {
         this.relay = relay;
-        this.tools = tools;
+        this.context = context;
         this.topic = topic;
         this.reader = reader;
-        this.boundMillis = boundMillis;
+        this.drainBoundMillis = drainBoundMillis;
     }
 
-    /** Starts to follow. */
     public void start() {
-        Pace pace = new Pace(WAIT_MILLIS, (long) (boundMillis * PAUSE_PART), (long) (boundMillis * RELAYED_AGE_PART));
-        new TopicFollower(tools, relay, topic, pace, this).run();
+        PollSettings settings = new PollSettings(READ_WAIT_MILLIS, (long) (drainBoundMillis * PAUSE_FRACTION), (long)
+                (drainBoundMillis * RELAYED_AGE_FRACTION));
+        new TopicFollower(context, relay, topic, settings, this).poll();
     }
 
     @Override
-    public void all(Map<String, byte[]> values) {
-        register.reached(tools.time().monotonicMillis());
+    public void onSnapshot(Map<String, byte[]> values) {
+        registry.reached(context.time().monotonicMillis());
         Map<String, Backend> listed = new HashMap<>();
         values.forEach((key, value) -> {
             try {
                 listed.put(key, reader.read(key, value));
             } catch (UnreadableRecordException exception) {
-                register.drop(key);
+                registry.drop(key);
                 logUnreadable(key, exception);
             }
         });
-        register.replaceAll(tools.time().monotonicMillis(), listed);
+        registry.replaceAll(context.time().monotonicMillis(), listed);
     }
 
     @Override
-    public void one(KeyedRecord record, long offset) {
-        long now = tools.time().monotonicMillis();
-        register.reached(now);
+    public void onRecord(KeyedRecord record, long offset) {
+        long now = context.time().monotonicMillis();
+        registry.reached(now);
         if (record.value().isEmpty()) {
-            register.remove(now, record.key());
+            registry.remove(now, record.key());
             return;
         }
         try {
-            register.put(reader.read(record.key(), record.value().get()));
+            registry.put(reader.read(record.key(), record.value().get()));
         } catch (UnreadableRecordException exception) {
-            register.drop(record.key());
+            registry.drop(record.key());
             logUnreadable(record.key(), exception);
         }
     }
 
     @Override
-    public void confirmed(Confirmation read) {
-        long now = tools.time().monotonicMillis();
-        register.reached(now);
+    public void onConfirmed(Confirmation read) {
+        long now = context.time().monotonicMillis();
+        registry.reached(now);
         publish(now);
     }
 
     @Override
-    public void failed() {
-        publish(tools.time().monotonicMillis());
+    public void onReadFailure() {
+        publish(context.time().monotonicMillis());
     }
 
-    /**
-     * Publishes the catalogue and logs what changed.
-     *
-     * @param now The present monotonic time in milliseconds.
-     */
+    /** Publishes the snapshot and logs the changes. */
     private void publish(long now) {
-        BackendSnapshot catalogue = register.catalogue(now);
-        tools.board().publish(catalogue);
+        BackendSnapshot catalogue = registry.catalogue(now);
+        context.state().publish(catalogue);
         Map<String, Backend> present = new HashMap<>();
         for (Backend backend : catalogue.all()) {
             present.put(backend.id(), backend);
-            if (!backend.equals(logged.get(backend.id()))) {
-                tools.events()
+            if (!backend.equals(lastLogged.get(backend.id()))) {
+                context.events()
                         .emit(new ControlEvents.BackendListed(
                                 backend.id(),
                                 backend.pool(),
@@ -143,23 +130,18 @@
                                 backend.leaving() ? "leaving" : "ready"));
             }
         }
-        for (String id : logged.keySet()) {
+        for (String id : lastLogged.keySet()) {
             if (!present.containsKey(id)) {
-                tools.events().emit(new ControlEvents.BackendGone(id));
+                context.events().emit(new ControlEvents.BackendGone(id));
             }
         }
-        logged = present;
+        lastLogged = present;
     }
 
-    /**
-     * Logs an entry that can't be understood, once for each key.
-     *
-     * @param key The key.
-     * @param exception What is wrong.
-     */
+    /** Logs an unreadable entry, once for each key. */
     private void logUnreadable(String key, UnreadableRecordException exception) {
-        if (unreadable.size() < REMEMBERED_UNREADABLE && unreadable.add(key)) {
-            tools.events().emit(new ControlEvents.RecordUnreadable(topic, key, exception.getMessage()));
+        if (unreadableKeys.size() < MAXIMUM_UNREADABLE_KEYS && unreadableKeys.add(key)) {
+            context.events().emit(new ControlEvents.RecordUnreadable(topic, key, exception.getMessage()));
         }
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControlEvents.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControlEvents.java
@@ -6,74 +6,73 @@
 /** The events of the controllers. */
 public final class ControlEvents {
 
-    /** Prevents instances. */
     private ControlEvents() {}
 
     /**
-     * A configuration is in force.
+     * A configuration came into force.
      *
-     * @param version The version.
-     * @param offset The offset of its record.
+     * @param version The version of the configuration.
+     * @param offset The offset of its record in the topic; -1 if it was read as part of a snapshot.
      */
     public record ConfigurationInForce(long version, long offset) implements Event {}
 
     /**
-     * A record of another writer can't be understood and is left out.
+     * A record of another writer could not be read and is ignored.
      *
-     * @param topic The topic.
-     * @param key The key.
-     * @param detail What is wrong.
+     * @param topic The topic of the record, or {@code datagram} for a message of another host.
+     * @param key The key of the record; empty if it has none.
+     * @param detail The reason.
      */
     public record RecordUnreadable(String topic, String key, String detail) implements Event {}
 
     /**
-     * A backend server appeared, or what it says of itself changed.
+     * A backend server was added, or its entry changed.
      *
-     * @param backend The backend server.
-     * @param pool The pool.
-     * @param dataCentre The data centre.
-     * @param state Whether it takes new work.
+     * @param backend The identifier of the backend server.
+     * @param pool The pool that it belongs to.
+     * @param dataCentre The data centre that it runs in.
+     * @param state Whether it accepts new requests: {@code ready} or {@code leaving}.
      */
     public record BackendListed(String backend, String pool, String dataCentre, String state) implements Event {}
 
     /**
-     * A backend server is no longer listed.
+     * A backend server was removed from the list.
      *
-     * @param backend The backend server.
+     * @param backend The identifier of the backend server.
      */
     public record BackendGone(String backend) implements Event {}
 
     /**
-     * A dependency can't be reached or used.
+     * A dependency became unavailable.
      *
-     * @param dependency The dependency.
-     * @param detail What happened.
+     * @param dependency The name of the dependency.
+     * @param detail The error message.
      */
     public record DependencyLost(String dependency, String detail) implements Event {}
 
     /**
-     * A dependency can be used again.
+     * A dependency became available again.
      *
-     * @param dependency The dependency.
-     * @param afterMillis The time without it in milliseconds.
+     * @param dependency The name of the dependency.
+     * @param afterMillis The duration of the outage in milliseconds.
      */
     public record DependencyRegained(String dependency, long afterMillis) implements Event {}
 
     /**
-     * This host took or lost the duties that one host does for all.
+     * This host became the leader, got a new fencing token, or lost leadership.
      *
-     * @param held Whether it holds them.
-     * @param fencingToken The fencing token.
+     * @param held Whether this host is the leader.
+     * @param fencingToken The fencing token; -1 if this host is not the leader.
      */
     public record DutyChanged(boolean held, long fencingToken) implements Event {}
 
     /**
      * The figures of a usage window were reported.
      *
-     * @param window The window.
-     * @param byCustomer The figures.
-     * @param fencingToken The fencing token.
-     * @param outcome What the receiver said.
+     * @param window The number of the usage window.
+     * @param byCustomer The number of requests by customer.
+     * @param fencingToken The fencing token that was sent.
+     * @param outcome The outcome of the call.
      */
     public record UsageReported(long window, Map<String, Long> byCustomer, long fencingToken, String outcome)
             implements Event {}
@@ -81,12 +80,12 @@
     /**
      * Backend servers were ordered.
      *
-     * @param pool The pool.
-     * @param dataCentre The data centre.
-     * @param supply How they are supplied.
-     * @param number The number wished for.
-     * @param fencingToken The fencing token.
-     * @param outcome What the receiver said.
+     * @param pool The pool that they belong to.
+     * @param dataCentre The data centre that they run in.
+     * @param supply Whether regular or cheap, reclaimable servers were ordered.
+     * @param number The total number ordered.
+     * @param fencingToken The fencing token that was sent.
+     * @param outcome The outcome of the call.
      */
     public record BackendsOrdered(
             String pool, String dataCentre, String supply, int number, long fencingToken, String outcome)
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControllerContext.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControllerContext.java
@@ -7,12 +7,8 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * What each controller needs.
+ * What all controllers use.
  *
- * @param vertx The Vert.x instance.
- * @param time The clocks.
- * @param log The shared log.
- * @param board What the host believes.
- * @param events The event log.
+ * @param state The host state that controllers publish to the request path.
  */
-public record ControllerContext(Vertx vertx, TimeSource time, SharedLog log, ProxyState board, EventLog events) {}
+public record ControllerContext(Vertx vertx, TimeSource time, SharedLog log, ProxyState state, EventLog events) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/DependencyMonitor.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/DependencyMonitor.java
@@ -2,58 +2,44 @@
 
 import org.cranberrygauge.runtime.event.EventLog;
 
-/**
- * Notes when a dependency is lost and regained, with one event for each change.
- *
- * <p>Used by one thread.
- */
+/** Emits one event when a dependency becomes unavailable and one when it is available again. Not thread-safe. */
 final class DependencyMonitor {
 
-    /** The name of the dependency. */
     private final String name;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** Whether the dependency is lost. */
     private boolean lost;
 
-    /** The monotonic time at which it was lost. */
-    private long lostMillis;
+    private long lostSinceMillis;
 
-    /**
-     * Creates a watch.
-     *
-     * @param name The name of the dependency.
-     * @param events The event log.
-     */
     DependencyMonitor(String name, EventLog events) {
         this.name = name;
         this.events = events;
     }
 
     /**
-     * Notes a success.
+     * Records a successful call.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    void reached(long nowMillis) {
+    void recordSuccess(long nowMillis) {
         if (lost) {
             lost = false;
-            events.emit(new ControlEvents.DependencyRegained(name, nowMillis - lostMillis));
+            events.emit(new ControlEvents.DependencyRegained(name, nowMillis - lostSinceMillis));
         }
     }
 
     /**
-     * Notes a failure.
+     * Records a failed call.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param detail What happened.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param detail The error message.
      */
-    void failed(long nowMillis, String detail) {
+    void recordFailure(long nowMillis, String detail) {
         if (!lost) {
             lost = true;
-            lostMillis = nowMillis;
+            lostSinceMillis = nowMillis;
             events.emit(new ControlEvents.DependencyLost(name, detail));
         }
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
@@ -16,156 +16,122 @@
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 
 /**
- * Follows how many backend servers are needed, and orders them while this host holds the duties.
- *
- * <p>Used by one thread.
+ * Estimates how many backend servers each pool needs, and orders them while this host is the leader. Not thread-safe.
  */
 public final class FleetController {
 
-    /** The pause between looks in milliseconds. */
+    /** The interval between evaluations. */
     private static final long TICK_MILLIS = 500;
 
-    /** The prompt tokens of running requests that one engine is meant to have. */
+    /** The target for the tokens of running requests on one engine. */
     private static final double TOKENS_PER_ENGINE = 45_000;
 
-    /** The requests with short prompts that one engine is meant to have. */
+    /** The target for the requests with short prompts on one engine. */
     private static final double SHORT_REQUESTS_PER_ENGINE = 24;
 
-    /** The part of a new measurement of the demand that counts when it is lower. */
-    private static final double FALL_PART = 0.05;
+    /** The smoothing weight of a new measurement below the current estimate. */
+    private static final double DECREASE_WEIGHT = 0.05;
 
-    /** The part of a new measurement of the demand that counts when it is higher. */
-    private static final double RISE_PART = 0.3;
+    /** The smoothing weight of a new measurement above the current estimate, higher so that the fleet grows quickly. */
+    private static final double INCREASE_WEIGHT = 0.3;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** Tells whether this host holds the duties. */
-    private final LeaderElection duty;
+    private final LeaderElection election;
 
-    /** Takes the orders. */
-    private final ControlPlaneClient receiver;
+    private final ControlPlaneClient controlPlane;
 
-    /** The work of this host. */
+    /** The load caused by this host, as the request path publishes it. */
     private final AtomicReference<Map<String, Work>> ownWork;
 
-    /** The plans by name of the pool. */
     private final Map<String, FleetPlan> plans = new HashMap<>();
 
-    /** The fencing token of the last look, or empty if this host did not hold the duties. */
+    /** The fencing token at the last evaluation; empty if this host was not the leader. */
     private OptionalLong lastToken = OptionalLong.empty();
 
-    /** The smoothed demand by name of the pool, in engines. */
+    /** The smoothed demand by pool, in engines. */
     private final Map<String, Double> demand = new HashMap<>();
 
-    /**
-     * Creates a desk.
-     *
-     * @param tools The tools.
-     * @param duty Tells whether this host holds the duties.
-     * @param receiver Takes the orders.
-     * @param ownWork The work of this host.
-     */
+    /** @param ownWork The load caused by this host, as the request path publishes it. */
     public FleetController(
-            ControllerContext tools,
-            LeaderElection duty,
-            ControlPlaneClient receiver,
+            ControllerContext context,
+            LeaderElection election,
+            ControlPlaneClient controlPlane,
             AtomicReference<Map<String, Work>> ownWork) {
-        this.tools = tools;
-        this.duty = duty;
-        this.receiver = receiver;
+        this.context = context;
+        this.election = election;
+        this.controlPlane = controlPlane;
         this.ownWork = ownWork;
     }
 
-    /** Starts to order. */
     public void start() {
-        tools.vertx().setPeriodic(TICK_MILLIS, fired -> tick());
+        context.vertx().setPeriodic(TICK_MILLIS, fired -> tick());
     }
 
-    /** Looks at each pool that can be ordered. */
+    /** Evaluates all pools. A change of the token starts a new term. */
     private void tick() {
-        OptionalLong token = duty.token();
+        OptionalLong token = election.fencingToken();
         if (!token.equals(lastToken)) {
             lastToken = token;
             plans.values().forEach(FleetPlan::beginTerm);
         }
-        tools.board()
+        context.state()
                 .configuration()
                 .configuration()
                 .map(ProxyConfiguration::pools)
-                .ifPresent(pools -> pools.values().forEach(pool -> look(pool, token)));
+                .ifPresent(pools -> pools.values().forEach(pool -> evaluate(pool, token)));
     }
 
-    /**
-     * Looks at a pool, and orders if this host holds the duties.
-     *
-     * @param pool The pool.
-     * @param token The fencing token, or empty if another host holds the duties.
-     */
-    private void look(Pool pool, OptionalLong token) {
+    /** Updates the plan of a pool, and sends its orders if this host is the leader. */
+    private void evaluate(Pool pool, OptionalLong token) {
         if (pool.fleet().isEmpty()) {
             return;
         }
         FleetLimits limits = pool.fleet().get();
-        long now = tools.time().monotonicMillis();
-        List<Backend> ready = tools.board().backends().ready(pool.name());
+        long now = context.time().monotonicMillis();
+        List<Backend> ready = context.state().backends().ready(pool.name());
         FleetPlan plan = plans.computeIfAbsent(pool.name(), FleetPlan::new);
         plan.observe(now, limits, ready, demand(pool.name(), ready));
-        token.ifPresent(held -> plan.decide(now, limits, ready).forEach(order -> send(plan, order, held)));
+        token.ifPresent(
+                fencingToken -> plan.decide(now, limits, ready).forEach(order -> send(plan, order, fencingToken)));
     }
 
-    /**
-     * Sends an order.
-     *
-     * @param plan The plan that it comes from.
-     * @param order The order.
-     * @param token The fencing token.
-     */
     private void send(FleetPlan plan, BackendOrder order, long token) {
-        duty.acting();
-        receiver.order(token, order).onSuccess(answer -> take(plan, order, token, answer));
+        election.recordAction();
+        controlPlane.order(token, order).onSuccess(outcome -> handleOutcome(plan, order, token, outcome));
     }
 
-    /**
-     * Takes the answer to an order.
-     *
-     * @param plan The plan.
-     * @param order The order.
-     * @param token The fencing token.
-     * @param answer The answer.
-     */
-    private void take(FleetPlan plan, BackendOrder order, long token, ControlPlaneOutcome answer) {
-        tools.events()
+    private void handleOutcome(FleetPlan plan, BackendOrder order, long token, ControlPlaneOutcome outcome) {
+        context.events()
                 .emit(new ControlEvents.BackendsOrdered(
-                        order.pool(), order.dataCentre(), order.supply().name(), order.number(), token, answer.name()));
-        switch (answer) {
+                        order.pool(),
+                        order.dataCentre(),
+                        order.supply().name(),
+                        order.number(),
+                        token,
+                        outcome.name()));
+        switch (outcome) {
             case ACCEPTED -> {}
-            case FENCED -> duty.refused(token);
-            case TURNED_AWAY -> plan.orderRejected(tools.time().monotonicMillis(), order);
+            case FENCED -> election.recordFenced(token);
+            case TURNED_AWAY -> plan.orderRejected(context.time().monotonicMillis(), order);
             default -> plan.orderUnconfirmed(order);
         }
     }
 
-    /**
-     * Estimates the number of engines that the present demand needs.
-     *
-     * @param pool The name of the pool.
-     * @param ready The engines that take new work.
-     * @return The number.
-     */
+    /** Estimates the number of engines that the current load requires. */
     private double demand(String pool, List<Backend> ready) {
         double tokens = 0;
         double shortRequests = 0;
         for (Backend backend : ready) {
             Work work = ownWork.get()
                     .getOrDefault(backend.incarnation(), Work.NONE)
-                    .plus(tools.board().peers().at(backend.incarnation()));
+                    .plus(context.state().peers().at(backend.incarnation()));
             tokens += work.heldTokens();
             shortRequests += work.shortRunning();
         }
-        double present = tokens / TOKENS_PER_ENGINE + shortRequests / SHORT_REQUESTS_PER_ENGINE;
-        double before = demand.getOrDefault(pool, present);
-        double smoothed = before + (present - before) * (present > before ? RISE_PART : FALL_PART);
+        double current = tokens / TOKENS_PER_ENGINE + shortRequests / SHORT_REQUESTS_PER_ENGINE;
+        double previous = demand.getOrDefault(pool, current);
+        double smoothed = previous + (current - previous) * (current > previous ? INCREASE_WEIGHT : DECREASE_WEIGHT);
         demand.put(pool, smoothed);
         return smoothed;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostChannel.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostChannel.java
@@ -14,60 +14,42 @@
 import org.cranberrygauge.protocol.generated.HostMessage;
 
 /**
- * The socket through which this host and the others send each other datagrams.
+ * The datagram socket through which hosts exchange messages.
  *
- * <p>What can't be understood is logged and dropped. Used by one thread.
+ * <p>Messages that can't be decoded are logged and dropped. Not thread-safe.
  */
 public final class HostChannel implements MessageTransport {
 
-    /** The size of the receive buffer in bytes, which also bounds a datagram: a larger one would be cut off. */
-    private static final int RECEIVE_BYTES = 128 * 1024;
+    /** The size of the receive buffer; it also bounds a datagram, since a larger one would be truncated. */
+    private static final int RECEIVE_BUFFER_BYTES = 128 * 1024;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** The address at which this host takes datagrams. */
     private final NetworkAddress address;
 
-    /** What takes the messages, by their kind. */
-    private final Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>> takers =
+    private final Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>> handlers =
             new EnumMap<>(HostMessage._Fields.class);
 
-    /** The socket. */
     private final DatagramSocket socket;
 
-    /**
-     * Creates a channel.
-     *
-     * @param tools The tools.
-     * @param address The address at which this host takes datagrams.
-     */
-    public HostChannel(ControllerContext tools, NetworkAddress address) {
-        this.tools = tools;
+    public HostChannel(ControllerContext context, NetworkAddress address) {
+        this.context = context;
         this.address = address;
-        this.socket =
-                tools.vertx().createDatagramSocket(new DatagramSocketOptions().setReceiveBufferSize(RECEIVE_BYTES));
+        this.socket = context.vertx()
+                .createDatagramSocket(new DatagramSocketOptions().setReceiveBufferSize(RECEIVE_BUFFER_BYTES));
     }
 
-    /**
-     * Returns the port at which this host takes datagrams, once the channel has started.
-     *
-     * @return The port.
-     */
+    /** Returns the bound port, once the channel has started. */
     int port() {
         return socket.localAddress().port();
     }
 
     @Override
-    public void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> taker) {
-        takers.put(kind, taker);
+    public void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> handler) {
+        handlers.put(kind, handler);
     }
 
-    /**
-     * Starts to take datagrams.
-     *
-     * @return The end of the start.
-     */
+    /** Binds the socket and starts to receive datagrams. */
     public Future<Void> start() {
         return socket.handler(this::receive)
                 .listen(address.port(), address.host())
@@ -82,23 +64,18 @@
         }
     }
 
-    /**
-     * Takes a datagram.
-     *
-     * @param packet The datagram.
-     */
     private void receive(DatagramPacket packet) {
         try {
             HostMessage message = MessageCodec.read(packet.data().getBytes(), new HostMessage());
-            BiConsumer<HostMessage, NetworkAddress> taker = takers.get(message.getSetField());
-            if (taker == null) {
+            BiConsumer<HostMessage, NetworkAddress> handler = handlers.get(message.getSetField());
+            if (handler == null) {
                 return;
             }
-            taker.accept(
+            handler.accept(
                     message,
                     new NetworkAddress(packet.sender().host(), packet.sender().port()));
         } catch (TException exception) {
-            tools.events().emit(new ControlEvents.RecordUnreadable("datagram", "", exception.getMessage()));
+            context.events().emit(new ControlEvents.RecordUnreadable("datagram", "", exception.getMessage()));
         }
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostNetwork.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/HostNetwork.java
@@ -3,26 +3,17 @@
 import org.cranberrygauge.proxy.ProxySettings;
 
 /**
- * What connects this host with the others.
+ * The connection of this host with the others.
  *
- * @param peers The other hosts.
- * @param channel Carries the messages.
  * @param relay Reads topics through other hosts.
- * @param topic The topic in which hosts write where they take messages.
+ * @param topic The topic in which hosts publish their addresses.
  */
 public record HostNetwork(PeerDirectory peers, HostChannel channel, TopicRelay relay, String topic) {
 
-    /**
-     * Creates what connects a host with the others.
-     *
-     * @param tools The tools.
-     * @param settings The settings of the host.
-     * @param topic The topic in which hosts write where they take messages.
-     * @return What connects it.
-     */
-    public static HostNetwork of(ControllerContext tools, ProxySettings settings, String topic) {
+    /** Creates the connection; {@link PeerReportExchange#start()} opens the channel. */
+    public static HostNetwork of(ControllerContext context, ProxySettings settings, String topic) {
         PeerDirectory peers = new PeerDirectory(settings.host(), settings.dataCentre());
-        HostChannel channel = new HostChannel(tools, settings.peers());
-        return new HostNetwork(peers, channel, new TopicRelay(tools, peers, channel), topic);
+        HostChannel channel = new HostChannel(context, settings.peers());
+        return new HostNetwork(peers, channel, new TopicRelay(context, peers, channel), topic);
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
@@ -4,145 +4,129 @@
 import org.cranberrygauge.proxy.leader.LeaderLease;
 
 /**
- * Keeps this host in the group that deals the duties, and tells whether it holds them.
+ * Elects one host as the leader through membership in a group of the shared log: the member that is assigned the first
+ * partition of the group's topic leads.
  *
- * <p>Only hosts that read the shared log for their data centre stand by, and those that hold the duties.
- *
- * <p>Used by one thread.
+ * <p>Only hosts that read the shared log for their data centre are candidates, and the current leader. Not thread-safe.
  */
 public final class LeaderElection {
 
-    /** The group, and the topic whose first part stands for the duties. */
+    /** The group, and the topic whose first partition stands for leadership. */
     private static final String GROUP = "cranberrygauge-duty";
 
-    /** The pause between joins in milliseconds. */
-    private static final long PAUSE_MILLIS = 900;
+    /** The interval between joins, which serve as heartbeats. */
+    private static final long JOIN_INTERVAL_MILLIS = 900;
 
-    /** The time that is left unused before the membership lapses, in milliseconds. */
-    private static final long MARGIN_MILLIS = 400;
+    /** The time before the membership expires at which the leader stops to act. */
+    private static final long SAFETY_MARGIN_MILLIS = 400;
 
-    /** The pause before the first join, in which the other hosts become known, in milliseconds. */
-    private static final long FIRST_MILLIS = 1_000;
+    /** The delay before the first join, in which the other hosts become known. */
+    private static final long INITIAL_DELAY_MILLIS = 1_000;
 
-    /** The time for which a host stays in the group after it last read the log for its data centre, in milliseconds. */
+    /** The time for which a host remains a candidate after it last read the log for its data centre. */
     private static final long STANDBY_MILLIS = 30_000;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** Tells which host reads the log; only such hosts stand by for the duties. */
+    /** Tells whether this host reads the log for its data centre. */
     private final TopicRelay relay;
 
-    /** The name of this start of the host. */
+    /** The incarnation of this host. */
     private final String member;
 
-    /** The lifetime of the membership in milliseconds. */
+    /** The time without a join after which the membership expires. */
     private final long lifetimeMillis;
 
-    /** Decides whether the host may act. */
     private final LeaderLease lease;
 
-    /** Notes when the group can't be joined. */
-    private final DependencyMonitor watch;
+    private final DependencyMonitor monitor;
 
-    /** The token that was last logged, or -1 if the duties were not held. */
+    /** The token that was last logged; -1 if this host was not the leader. */
     private long loggedToken = -1;
 
-    /** The monotonic time up to which this host stands by. */
+    /** The monotonic time until which this host is a candidate. */
     private long standbyUntilMillis = Long.MIN_VALUE;
 
     /** Whether the host has left the group. */
     private boolean left;
 
     /**
-     * Creates a keeper.
-     *
-     * @param tools The tools.
-     * @param relay Tells which host reads the log.
-     * @param member The name of this start of the host.
-     * @param leaseMillis The time after which an earlier holder has surely stopped, in milliseconds.
+     * @param member The incarnation of this host.
+     * @param leaseMillis The time in milliseconds after which a previous leader has certainly stopped.
      */
-    public LeaderElection(ControllerContext tools, TopicRelay relay, String member, long leaseMillis) {
-        this.tools = tools;
+    public LeaderElection(ControllerContext context, TopicRelay relay, String member, long leaseMillis) {
+        this.context = context;
         this.relay = relay;
         this.member = member;
         this.lifetimeMillis = leaseMillis;
-        this.lease = new LeaderLease(tools.time().monotonicMillis(), leaseMillis, leaseMillis - MARGIN_MILLIS);
-        this.watch = new DependencyMonitor("duty group", tools.events());
+        this.lease = new LeaderLease(context.time().monotonicMillis(), leaseMillis, leaseMillis - SAFETY_MARGIN_MILLIS);
+        this.monitor = new DependencyMonitor("duty group", context.events());
     }
 
-    /** Starts to join again and again. */
+    /** Starts to join periodically. */
     public void start() {
-        tools.vertx().setTimer(FIRST_MILLIS, fired -> run());
+        context.vertx().setTimer(INITIAL_DELAY_MILLIS, fired -> joinOrStandBy());
     }
 
-    /** Joins, or stays in the group, if this host stands by. */
-    private void run() {
+    /** Joins the group, or renews the membership, if this host is a candidate or the leader. */
+    private void joinOrStandBy() {
         if (left) {
             return;
         }
-        long sentMillis = tools.time().monotonicMillis();
+        long sentMillis = context.time().monotonicMillis();
         if (relay.reader().isEmpty()) {
             standbyUntilMillis = sentMillis + STANDBY_MILLIS;
         }
-        if (sentMillis >= standbyUntilMillis && token().isEmpty()) {
+        if (sentMillis >= standbyUntilMillis && fencingToken().isEmpty()) {
             logChange();
-            tools.vertx().setTimer(PAUSE_MILLIS, fired -> run());
+            context.vertx().setTimer(JOIN_INTERVAL_MILLIS, fired -> joinOrStandBy());
             return;
         }
-        long sentWallMillis = tools.time().wallMillis();
-        tools.log()
+        long sentWallMillis = context.time().wallMillis();
+        context.log()
                 .join(GROUP, member, GROUP, lifetimeMillis, lease.generation())
                 .onSuccess(share -> {
-                    watch.reached(tools.time().monotonicMillis());
+                    monitor.recordSuccess(context.time().monotonicMillis());
                     lease.recordJoin(sentMillis, sentWallMillis, share);
                 })
-                .onFailure(
-                        failure -> watch.failed(tools.time().monotonicMillis(), String.valueOf(failure.getMessage())))
+                .onFailure(failure ->
+                        monitor.recordFailure(context.time().monotonicMillis(), String.valueOf(failure.getMessage())))
                 .onComplete(done -> {
                     logChange();
-                    tools.vertx().setTimer(PAUSE_MILLIS, fired -> run());
+                    context.vertx().setTimer(JOIN_INTERVAL_MILLIS, fired -> joinOrStandBy());
                 });
     }
 
-    /** Leaves the group, so that another host takes the duties at once. */
+    /** Leaves the group, so that another host becomes the leader at once. */
     public void leave() {
         left = true;
-        tools.log().leave(GROUP, member);
+        context.log().leave(GROUP, member);
     }
 
-    /**
-     * Returns the fencing token while this host may act.
-     *
-     * @return The token, or nothing if it may not act.
-     */
-    public OptionalLong token() {
+    /** Returns the fencing token while this host may act as the leader, or empty. */
+    public OptionalLong fencingToken() {
         return left
                 ? OptionalLong.empty()
                 : lease.fencingToken(
-                        tools.time().monotonicMillis(), tools.time().wallMillis());
+                        context.time().monotonicMillis(), context.time().wallMillis());
     }
 
-    /** Notes that this host acts. */
-    public void acting() {
-        lease.recordAction(tools.time().monotonicMillis());
+    /** Records that this host acts as the leader. */
+    public void recordAction() {
+        lease.recordAction(context.time().monotonicMillis());
     }
 
-    /**
-     * Notes that a token was refused.
-     *
-     * @param token The token.
-     */
-    public void refused(long token) {
-        lease.recordFenced(token);
+    /** Records that a token was rejected since a higher one had been used. */
+    public void recordFenced(long fencedToken) {
+        lease.recordFenced(fencedToken);
     }
 
-    /** Logs when the duties are taken or lost. */
+    /** Logs when leadership is gained or lost. */
     private void logChange() {
-        long token = token().orElse(-1);
-        if (token != loggedToken) {
-            loggedToken = token;
-            tools.events().emit(new ControlEvents.DutyChanged(token >= 0, token));
+        long fencingToken = fencingToken().orElse(-1);
+        if (fencingToken != loggedToken) {
+            loggedToken = fencingToken;
+            context.events().emit(new ControlEvents.DutyChanged(fencingToken >= 0, fencingToken));
         }
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/MessageTransport.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/MessageTransport.java
@@ -6,25 +6,15 @@
 import org.cranberrygauge.protocol.generated.HostMessage;
 
 /**
- * Carries messages between hosts.
+ * Sends and receives messages between hosts.
  *
- * <p>A message may be lost, doubled or late. Used by one thread.
+ * <p>A message may be lost, duplicated or delayed. Not thread-safe.
  */
 interface MessageTransport {
 
-    /**
-     * Sets what takes the messages of a kind, which hears the message and the address of its sender.
-     *
-     * @param kind The kind.
-     * @param taker What takes them.
-     */
-    void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> taker);
+    /** Sets the handler for one kind of message; it receives the message and the sender's address. */
+    void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> handler);
 
-    /**
-     * Sends a message.
-     *
-     * @param message The message.
-     * @param receivers The addresses that it goes to.
-     */
+    /** Sends a message to each of the receivers. */
     void send(HostMessage message, Collection<NetworkAddress> receivers);
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerDirectory.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerDirectory.java
@@ -14,69 +14,59 @@
 import org.cranberrygauge.proxy.routing.PeerLoads.Work;
 
 /**
- * The other hosts of the proxy, their addresses and what they last said.
+ * The other hosts, their addresses and their last reports.
  *
- * <p>Invariants: a report counts only while it is recent; of two starts of a host only the later counts. Used by one thread.
+ * <p>Invariants: a report is used only while it is recent; of two incarnations of a host only the later one is used.
+ * Not thread-safe.
  */
 public final class PeerDirectory {
 
-    /** The age up to which the work in a report counts, in milliseconds. */
-    private static final long WORK_MILLIS = 1_500;
+    /** The maximum age at which the load in a report is used. */
+    private static final long WORK_VALIDITY_MILLIS = 1_500;
 
-    /** The time for which a silent host still counts as one that shares budgets, in milliseconds. */
-    private static final long MEMBER_MILLIS = 20_000;
+    /** The time for which a silent host still counts among those that share budgets. */
+    private static final long BUDGET_MEMBERSHIP_MILLIS = 20_000;
 
-    /** The time after which a silent host gets no more reports, in milliseconds. */
-    private static final long FORGOTTEN_MILLIS = 60_000;
+    /** The time after which a silent host gets no more reports. */
+    private static final long EVICTION_MILLIS = 60_000;
 
-    /** The age of the last report up to which a host is asked what it read, in milliseconds. */
-    private static final long READER_MILLIS = 1_000;
+    /** The maximum age of the last report of a host that is queried for reads. */
+    private static final long READER_VALIDITY_MILLIS = 1_000;
 
-    /** The name of this host. */
     private final String host;
 
-    /** The data centre of this host. */
     private final String dataCentre;
 
-    /** The other hosts by name. */
     private final Map<String, Peer> peers = new HashMap<>();
 
-    /**
-     * Creates a directory.
-     *
-     * @param host The name of this host.
-     * @param dataCentre The data centre of this host.
-     */
     public PeerDirectory(String host, String dataCentre) {
         this.host = host;
         this.dataCentre = dataCentre;
     }
 
     /**
-     * Takes the address of a host.
+     * Adds a host that was found in the shared log; ignored if it is known already.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param host The name of the host.
-     * @param address The address at which it takes reports.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param address The address at which the host receives messages.
      */
-    void announce(long nowMillis, String host, NetworkAddress address) {
-        Peer known = peers.get(host);
-        if (known == null) {
-            peers.put(host, new Peer(address, 0, 0, Map.of(), "", false, nowMillis, Long.MIN_VALUE / 2));
+    void addHost(long nowMillis, String name, NetworkAddress address) {
+        Peer current = peers.get(name);
+        if (current == null) {
+            peers.put(name, new Peer(address, 0, 0, Map.of(), "", false, nowMillis, Long.MIN_VALUE / 2));
         }
     }
 
     /**
-     * Takes a report.
+     * Applies a report.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param report The report.
-     * @param address The address it came from.
-     * @return Whether the report is newer than those before.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param address The sender's address.
+     * @return Whether the report is newer than all previous ones.
      */
-    boolean take(long nowMillis, HostReport report, NetworkAddress address) {
-        Peer known = peers.get(report.getHost());
-        if (known != null && isOlder(report, known)) {
+    boolean update(long nowMillis, HostReport report, NetworkAddress address) {
+        Peer current = peers.get(report.getHost());
+        if (current != null && isOlder(report, current)) {
             return false;
         }
         Map<String, Work> work = new HashMap<>();
@@ -96,32 +86,30 @@
     }
 
     /**
-     * Returns the addresses to which reports go.
+     * Evicts silent hosts and returns the addresses of the others.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The addresses.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
     List<NetworkAddress> addresses(long nowMillis) {
-        peers.values().removeIf(peer -> nowMillis - peer.knownMillis() > FORGOTTEN_MILLIS);
+        peers.values().removeIf(peer -> nowMillis - peer.lastSeenMillis() > EVICTION_MILLIS);
         List<NetworkAddress> addresses = new ArrayList<>();
         peers.values().forEach(peer -> addresses.add(peer.address()));
         return addresses;
     }
 
     /**
-     * Adds up the work of the other hosts.
+     * Sums the load caused by the other hosts.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The work.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
     PeerLoads loads(long nowMillis) {
         Map<String, Work> total = new HashMap<>();
         int hosts = 1;
         for (Peer peer : peers.values()) {
-            if (nowMillis - peer.knownMillis() < MEMBER_MILLIS) {
+            if (nowMillis - peer.lastSeenMillis() < BUDGET_MEMBERSHIP_MILLIS) {
                 hosts++;
             }
-            if (nowMillis - peer.heardMillis() < WORK_MILLIS) {
+            if (nowMillis - peer.lastReportMillis() < WORK_VALIDITY_MILLIS) {
                 peer.work().forEach((incarnation, work) -> total.merge(incarnation, work, Work::plus));
             }
         }
@@ -129,59 +117,43 @@
     }
 
     /**
-     * Returns the host that reads the shared log for this one: the first by name of the data centre, or of all hosts if none of
-     * the data centre can read.
+     * Returns the host that reads the shared log for this one: the first by name in the data centre, or of all hosts if
+     * none in the data centre can read.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      * @param ownReads Whether this host can read.
-     * @return The address of the host, or empty if this host reads by itself.
+     * @return The address of the host, or empty if this host should read by itself.
      */
     Optional<NetworkAddress> reader(long nowMillis, boolean ownReads) {
-        Optional<String> near = firstReader(nowMillis, dataCentre::equals);
+        Optional<String> localReader = firstReader(nowMillis, dataCentre::equals);
         if (ownReads) {
-            return near.filter(name -> name.compareTo(host) < 0)
+            return localReader
+                    .filter(name -> name.compareTo(host) < 0)
                     .map(name -> peers.get(name).address());
         }
-        return near.or(() -> firstReader(nowMillis, any -> true))
+        return localReader
+                .or(() -> firstReader(nowMillis, any -> true))
                 .map(name -> peers.get(name).address());
     }
 
-    /**
-     * Returns the first other host that reads the shared log.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param wanted The data centres that count.
-     * @return Its name.
-     */
-    private Optional<String> firstReader(long nowMillis, Predicate<String> wanted) {
+    /** Returns the name of the first other host that reads the shared log. */
+    private Optional<String> firstReader(long nowMillis, Predicate<String> dataCentreFilter) {
         return peers.entrySet().stream()
                 .filter(entry -> entry.getValue().readsLog()
-                        && wanted.test(entry.getValue().dataCentre()))
-                .filter(entry -> nowMillis - entry.getValue().heardMillis() < READER_MILLIS)
+                        && dataCentreFilter.test(entry.getValue().dataCentre()))
+                .filter(entry -> nowMillis - entry.getValue().lastReportMillis() < READER_VALIDITY_MILLIS)
                 .map(Map.Entry::getKey)
                 .min(Comparator.naturalOrder());
     }
 
-    /**
-     * Tells whether a report is older than what is known.
-     *
-     * @param report The report.
-     * @param known What is known of its host.
-     * @return Whether it is older.
-     */
-    private static boolean isOlder(HostReport report, Peer known) {
-        if (report.getStartedAtMillis() != known.startedAtMillis()) {
-            return report.getStartedAtMillis() < known.startedAtMillis();
+    /** Tells whether a report is not newer than the current one of its host. */
+    private static boolean isOlder(HostReport report, Peer current) {
+        if (report.getStartedAtMillis() != current.startedAtMillis()) {
+            return report.getStartedAtMillis() < current.startedAtMillis();
         }
-        return report.getSequence() <= known.sequence();
+        return report.getSequence() <= current.sequence();
     }
 
-    /**
-     * Reads the work in a report.
-     *
-     * @param entry The entry.
-     * @return The work.
-     */
     private static Work work(BackendWork entry) {
         return new Work(entry.getRunning(), entry.getUnreadTokens(), entry.getHeldTokens(), entry.getShortRunning());
     }
@@ -189,14 +161,14 @@
     /**
      * Another host.
      *
-     * @param address The address at which it takes reports.
-     * @param startedAtMillis The time of its start in milliseconds of the epoch.
-     * @param sequence The number of its last report.
-     * @param work Its work by incarnation of the backend server.
-     * @param dataCentre Its data centre; unknown before its first report.
-     * @param readsLog Whether it may read the shared log for others.
-     * @param knownMillis The monotonic time at which it was last heard or announced.
-     * @param heardMillis The monotonic time of its last report.
+     * @param address The address at which it receives messages.
+     * @param startedAtMillis The time of its start in milliseconds since the epoch.
+     * @param sequence The sequence number of its last report.
+     * @param work Its load by incarnation of the backend server.
+     * @param dataCentre Its data centre; empty before its first report.
+     * @param readsLog Whether it can read the shared log for others.
+     * @param lastSeenMillis The monotonic time of its last report or, before the first, of its discovery.
+     * @param lastReportMillis The monotonic time of its last report.
      */
     private record Peer(
             NetworkAddress address,
@@ -205,6 +177,6 @@
             Map<String, Work> work,
             String dataCentre,
             boolean readsLog,
-            long knownMillis,
-            long heardMillis) {}
+            long lastSeenMillis,
+            long lastReportMillis) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
@@ -22,142 +22,115 @@
 import org.cranberrygauge.proxy.routing.PromptPart;
 
 /**
- * Tells the other hosts several times a second what this host has in flight, and takes what they say.
+ * Sends periodic reports of this host's load to all other hosts, and receives theirs.
  *
- * <p>Hosts find each other through the shared log: each writes its address once and then reads those of the others. Every
- * report tells all there is, so that a lost one does no harm. Used by one thread, but for the work of this host, which the
- * request path publishes.
+ * <p>Hosts discover each other through the shared log: each writes its address once and then reads those of the others.
+ * Every report contains the complete state, so that a lost one does no harm. Not thread-safe, except that the request
+ * path publishes this host's load concurrently.
  */
 public final class PeerReportExchange {
 
-    /** The pause between reports in milliseconds. */
-    private static final long PAUSE_MILLIS = 200;
+    /** The interval between reports. */
+    private static final long REPORT_INTERVAL_MILLIS = 200;
 
-    /** The pause before a failed announcement is tried again, in milliseconds. */
-    private static final long RETRY_MILLIS = 700;
+    /** The delay before a failed discovery is retried. */
+    private static final long RETRY_DELAY_MILLIS = 700;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** The settings of this host. */
     private final ProxySettings settings;
 
-    /** The time of the start of this process in milliseconds of the epoch. */
+    /** The time of the process start in milliseconds since the epoch. */
     private final long startedAtMillis;
 
-    /** The requests that crash backend servers. */
     private final CrashTracker crashes;
 
-    /** Tells other hosts which engine reads which prompt part. */
     private final PlacementExchange placements;
 
-    /** The work of this host, as the request path last published it. */
+    /** The load caused by this host, as the request path last published it. */
     private final AtomicReference<Map<String, Work>> ownWork;
 
-    /** What connects this host with the others. */
     private final HostNetwork network;
 
-    /** Notes when hosts can't be found. */
-    private final DependencyMonitor watch;
+    private final DependencyMonitor monitor;
 
-    /** The number of the last report. */
+    /** The sequence number of the last report. */
     private long sequence;
 
     /**
-     * Creates a link.
-     *
-     * @param tools The tools.
-     * @param settings The settings of this host.
-     * @param network What connects this host with the others.
-     * @param startedAtMillis The time of the start of this process in milliseconds of the epoch.
-     * @param crashes The requests that crash backend servers.
-     * @param placements Tells other hosts which engine reads which prompt part.
-     * @param ownWork The work of this host, as the request path publishes it.
+     * @param startedAtMillis The time of the process start in milliseconds since the epoch.
+     * @param ownWork The load caused by this host, as the request path publishes it.
      */
     public PeerReportExchange(
-            ControllerContext tools,
+            ControllerContext context,
             ProxySettings settings,
             HostNetwork network,
             long startedAtMillis,
             CrashTracker crashes,
             PlacementExchange placements,
             AtomicReference<Map<String, Work>> ownWork) {
-        this.tools = tools;
+        this.context = context;
         this.settings = settings;
         this.network = network;
         this.startedAtMillis = startedAtMillis;
         this.crashes = crashes;
         this.placements = placements;
         this.ownWork = ownWork;
-        this.watch = new DependencyMonitor("host addresses", tools.events());
+        this.monitor = new DependencyMonitor("host addresses", context.events());
     }
 
-    /**
-     * Starts to exchange reports.
-     *
-     * @return The end of the start.
-     */
+    /** Opens the channel, then starts discovery and the periodic reports. */
     public Future<Void> start() {
-        network.channel().onMessage(HostMessage._Fields.REPORT, (message, sender) -> take(message.getReport(), sender));
+        network.channel()
+                .onMessage(HostMessage._Fields.REPORT, (message, sender) -> receive(message.getReport(), sender));
         return network.channel().start().onSuccess(bound -> {
-            announce();
-            tools.vertx().setPeriodic(PAUSE_MILLIS, fired -> report());
+            publishAddress();
+            context.vertx().setPeriodic(REPORT_INTERVAL_MILLIS, fired -> report());
         });
     }
 
     /** Writes this host's address and reads those of the others. */
-    private void announce() {
+    private void publishAddress() {
         byte[] value = MessageCodec.write(
                 new HostAddress(settings.peers().host(), settings.peers().port(), startedAtMillis));
-        tools.log()
+        context.log()
                 .put(network.topic(), settings.host(), value)
-                .compose(offset -> tools.log().newest(network.topic()))
+                .compose(offset -> context.log().newest(network.topic()))
                 .onSuccess(newest -> {
-                    watch.reached(tools.time().monotonicMillis());
-                    newest.values().forEach(this::takeAddress);
+                    monitor.recordSuccess(context.time().monotonicMillis());
+                    newest.values().forEach(this::addHost);
                 })
                 .onFailure(failure -> {
-                    watch.failed(tools.time().monotonicMillis(), String.valueOf(failure.getMessage()));
-                    tools.vertx().setTimer(RETRY_MILLIS, fired -> announce());
+                    monitor.recordFailure(context.time().monotonicMillis(), String.valueOf(failure.getMessage()));
+                    context.vertx().setTimer(RETRY_DELAY_MILLIS, fired -> publishAddress());
                 });
     }
 
-    /**
-     * Takes the address of a host.
-     *
-     * @param name The name of the host.
-     * @param value The bytes.
-     */
-    private void takeAddress(String name, byte[] value) {
+    private void addHost(String name, byte[] value) {
         if (name.equals(settings.host())) {
             return;
         }
         try {
             HostAddress read = MessageCodec.read(value, new HostAddress());
             network.peers()
-                    .announce(
-                            tools.time().monotonicMillis(),
+                    .addHost(
+                            context.time().monotonicMillis(),
                             name,
                             new NetworkAddress(read.getAddress(), read.getPort()));
         } catch (TException exception) {
-            tools.events().emit(new ControlEvents.RecordUnreadable(network.topic(), name, exception.getMessage()));
+            context.events().emit(new ControlEvents.RecordUnreadable(network.topic(), name, exception.getMessage()));
         }
     }
 
-    /** Sends a report to each other host and publishes what they said. */
+    /** Sends a report to all other hosts and publishes the sum of theirs. */
     private void report() {
-        long now = tools.time().monotonicMillis();
-        network.channel().send(HostMessage.report(message(now)), network.peers().addresses(now));
-        tools.board().publish(network.peers().loads(now));
+        long now = context.time().monotonicMillis();
+        network.channel()
+                .send(HostMessage.report(buildReport(now)), network.peers().addresses(now));
+        context.state().publish(network.peers().loads(now));
     }
 
-    /**
-     * Writes down what this host has to say.
-     *
-     * @param now The present monotonic time in milliseconds.
-     * @return The report.
-     */
-    private HostReport message(long now) {
+    private HostReport buildReport(long now) {
         Map<String, BackendWork> work = new HashMap<>();
         ownWork.get()
                 .forEach((incarnation, own) -> work.put(
@@ -182,14 +155,9 @@
                 network.relay().readsLog());
     }
 
-    /**
-     * Takes a report.
-     *
-     * @param report The report.
-     * @param sender The address it came from.
-     */
-    private void take(HostReport report, NetworkAddress sender) {
-        if (!network.peers().take(tools.time().monotonicMillis(), report, sender)) {
+    /** Applies the report of another host. */
+    private void receive(HostReport report, NetworkAddress sender) {
+        if (!network.peers().update(context.time().monotonicMillis(), report, sender)) {
             return;
         }
         Map<Long, Integer> counts = new HashMap<>();
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicFollower.java
@@ -8,184 +8,138 @@
 import org.cranberrygauge.proxy.store.SharedLogException.Kind;
 
 /**
- * Follows a topic in which the newest record of each key counts.
+ * Follows a topic in which the newest record of each key is authoritative.
  *
- * <p>It reads the newest values at first and after a gap, and later records in between. Used by one thread.
+ * <p>It reads a snapshot at first and after a gap, and later records in between. Not thread-safe.
  */
 final class TopicFollower {
 
-    /** The pause after a first failed read, in milliseconds. */
-    private static final long FIRST_RETRY_MILLIS = 100;
+    /** The delay after a first failed read; it doubles with each consecutive failure. */
+    private static final long INITIAL_RETRY_MILLIS = 100;
 
-    /** The longest pause after failed reads, in milliseconds. */
-    private static final long LONGEST_RETRY_MILLIS = 800;
+    private static final long MAXIMUM_RETRY_MILLIS = 800;
 
-    /** The shortest pause after a read of another host, in milliseconds. */
-    private static final long RELAYED_PAUSE_MILLIS = 250;
+    /** The minimum pause after a read through another host. */
+    private static final long RELAYED_INTERVAL_MILLIS = 250;
 
-    /** The time over which the pauses after reads of other hosts are spread, in milliseconds. */
-    private static final long RELAYED_SPREAD_MILLIS = 100;
+    /** The maximum random addition to that pause, so that hosts don't query the same one all at once. */
+    private static final long RELAYED_JITTER_MILLIS = 100;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** The topic. */
     private final String topic;
 
-    /** How often the topic is read. */
-    private final Pace pace;
+    private final PollSettings settings;
 
-    /** Reads through other hosts where that is possible. */
     private final TopicRelay relay;
 
-    /** Takes what is read. */
     private final Listener listener;
 
-    /** Notes when the topic can't be read. */
-    private final DependencyMonitor watch;
+    private final DependencyMonitor monitor;
 
-    /** The offset of the next record, or -1 if the newest values have to be read. */
+    /** The offset of the next record; -1 if a snapshot has to be read. */
     private long next = -1;
 
-    /** The pause after the next failed read, in milliseconds. */
-    private long retryMillis = FIRST_RETRY_MILLIS;
+    /** The delay after the next failed read. */
+    private long retryMillis = INITIAL_RETRY_MILLIS;
 
-    /**
-     * Creates a follower.
-     *
-     * @param tools The tools.
-     * @param relay Reads through other hosts where that is possible.
-     * @param topic The topic.
-     * @param pace How often the topic is read.
-     * @param listener Takes what is read.
-     */
-    TopicFollower(ControllerContext tools, TopicRelay relay, String topic, Pace pace, Listener listener) {
-        this.tools = tools;
+    TopicFollower(ControllerContext context, TopicRelay relay, String topic, PollSettings settings, Listener listener) {
+        this.context = context;
         this.relay = relay;
         this.topic = topic;
-        this.pace = pace;
+        this.settings = settings;
         this.listener = listener;
-        this.watch = new DependencyMonitor("log topic " + topic, tools.events());
+        this.monitor = new DependencyMonitor("log topic " + topic, context.events());
     }
 
-    /** Reads on. */
-    void run() {
+    /** Reads the next records, or a snapshot, and schedules the following read. */
+    void poll() {
         if (next >= 0) {
-            relay.read(topic, next, pace.waitMillis(), pace.maximumAgeMillis())
-                    .onSuccess(this::take)
+            relay.read(topic, next, settings.waitMillis(), settings.maximumAgeMillis())
+                    .onSuccess(this::apply)
                     .onFailure(this::failed);
             return;
         }
-        Confirmation sent = Confirmation.now(tools.time());
-        tools.log()
+        Confirmation sent = Confirmation.now(context.time());
+        context.log()
                 .newest(topic)
                 .onSuccess(newest -> {
                     next = newest.end();
-                    listener.all(newest.values());
-                    succeeded(sent, pace.pauseMillis());
+                    listener.onSnapshot(newest.values());
+                    succeeded(sent, settings.pauseMillis());
                 })
                 .onFailure(this::failed);
     }
 
-    /**
-     * Takes records.
-     *
-     * @param reading What was read.
-     */
-    private void take(TopicReadResult reading) {
+    private void apply(TopicReadResult result) {
         long offset = next;
-        for (byte[] record : reading.records()) {
+        for (byte[] record : result.records()) {
             long at = offset;
-            KeyedRecord.parse(record).ifPresent(keyed -> listener.one(keyed, at));
+            KeyedRecord.parse(record).ifPresent(keyed -> listener.onRecord(keyed, at));
             offset++;
         }
-        next = reading.next();
-        succeeded(reading.confirmation(), pauseMillis(reading));
+        next = result.next();
+        succeeded(result.confirmation(), pauseMillis(result));
     }
 
-    /**
-     * Returns the pause before the next read; hosts that ask the same one don't do so all at once.
-     *
-     * @param reading What was read.
-     * @return The pause in milliseconds.
-     */
-    private long pauseMillis(TopicReadResult reading) {
-        if (!reading.relayed()) {
-            return pace.pauseMillis();
+    /** Returns the pause before the next read. */
+    private long pauseMillis(TopicReadResult result) {
+        if (!result.relayed()) {
+            return settings.pauseMillis();
         }
-        if (!reading.complete()) {
+        if (!result.complete()) {
             return 0;
         }
-        return RELAYED_PAUSE_MILLIS + ThreadLocalRandom.current().nextLong(RELAYED_SPREAD_MILLIS);
+        return RELAYED_INTERVAL_MILLIS + ThreadLocalRandom.current().nextLong(RELAYED_JITTER_MILLIS);
     }
 
-    /**
-     * Goes on after a successful read.
-     *
-     * @param read The time of the read.
-     * @param pauseMillis The pause before the next read, in milliseconds.
-     */
-    private void succeeded(Confirmation read, long pauseMillis) {
-        watch.reached(tools.time().monotonicMillis());
-        retryMillis = FIRST_RETRY_MILLIS;
-        listener.confirmed(read);
+    private void succeeded(Confirmation confirmation, long pauseMillis) {
+        monitor.recordSuccess(context.time().monotonicMillis());
+        retryMillis = INITIAL_RETRY_MILLIS;
+        listener.onConfirmed(confirmation);
         if (pauseMillis == 0) {
-            run();
+            poll();
         } else {
-            tools.vertx().setTimer(pauseMillis, fired -> run());
+            context.vertx().setTimer(pauseMillis, fired -> poll());
         }
     }
 
-    /**
-     * Goes on after a failed read.
-     *
-     * @param failure The failure.
-     */
     private void failed(Throwable failure) {
-        watch.failed(tools.time().monotonicMillis(), String.valueOf(failure.getMessage()));
-        listener.failed();
+        monitor.recordFailure(context.time().monotonicMillis(), String.valueOf(failure.getMessage()));
+        listener.onReadFailure();
         if (failure instanceof SharedLogException known && known.kind() == Kind.TRIMMED) {
             next = -1;
         }
-        tools.vertx().setTimer(retryMillis, fired -> run());
-        retryMillis = Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2);
+        context.vertx().setTimer(retryMillis, fired -> poll());
+        retryMillis = Math.min(MAXIMUM_RETRY_MILLIS, retryMillis * 2);
     }
 
     /**
-     * How often a topic is read.
+     * How a topic is polled.
      *
-     * @param waitMillis The longest time that a read of the log waits for a record, in milliseconds.
+     * @param waitMillis The maximum time that a read of the log waits for a record, in milliseconds.
      * @param pauseMillis The pause between reads of the log, in milliseconds.
-     * @param maximumAgeMillis The highest age of what another host read, in milliseconds.
+     * @param maximumAgeMillis The maximum age of a read through another host, in milliseconds.
      */
-    record Pace(long waitMillis, long pauseMillis, long maximumAgeMillis) {}
+    record PollSettings(long waitMillis, long pauseMillis, long maximumAgeMillis) {}
 
-    /** Takes what a follower reads. */
+    /** Receives what a follower reads. */
     interface Listener {
 
-        /**
-         * Takes the newest values of all keys.
-         *
-         * @param values The values by key.
-         */
-        void all(Map<String, byte[]> values);
+        /** Receives the newest values of all keys. */
+        void onSnapshot(Map<String, byte[]> values);
 
-        /**
-         * Takes one later record.
-         *
-         * @param record The record.
-         * @param offset Its offset.
-         */
-        void one(KeyedRecord record, long offset);
+        /** Receives one later record. */
+        void onRecord(KeyedRecord record, long offset);
 
         /**
-         * Hears that everything up to a time is known.
+         * Called when all records up to a time have been received.
          *
-         * @param read The time at which the read was sent.
+         * @param confirmation The time at which the read was sent.
          */
-        void confirmed(Confirmation read);
+        void onConfirmed(Confirmation confirmation);
 
-        /** Hears that a read failed. */
-        default void failed() {}
+        /** Called when a read failed. */
+        default void onReadFailure() {}
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicRelay.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicRelay.java
@@ -20,223 +20,163 @@
 import org.cranberrygauge.proxy.store.SharedLogException.Kind;
 
 /**
- * Reads topics of the shared log for a data centre: one host reads, the others ask it.
+ * Reads topics of the shared log on behalf of a data centre: one host reads, the others query it.
  *
- * <p>A host that gets no good answer reads by itself, and one that the log turns away asks another. What an answer confirms
- * counts from the time at which the question was sent, less the age that the answer states, so that an answer that was held
- * up is never taken as newer than it is. Used by one thread.
+ * <p>A host that gets no usable response reads by itself, and one whose read is rejected queries another host. A
+ * confirmation is dated from the time at which the query was sent, less the age that the response states, so that a
+ * delayed response never appears newer than it is. Not thread-safe.
  */
 public final class TopicRelay {
 
-    /** The time that a host has for an answer, in milliseconds. */
-    private static final long ANSWER_MILLIS = 150;
+    /** The time that a host has for a response to one query. */
+    private static final long RESPONSE_TIMEOUT_MILLIS = 150;
 
-    /** The time for which a host that gave no good answer isn't asked again, in milliseconds. */
-    private static final long AVOIDED_MILLIS = 1_500;
+    /** The time for which a host is not queried again after it gave no usable response. */
+    private static final long COOLDOWN_MILLIS = 1_500;
 
-    /** The time after a failed read in which this host doesn't read for others, in milliseconds. */
+    /** The time after a failed read in which this host does not read for others. */
     private static final long FAILED_MILLIS = 3_000;
 
-    /** The time after a question in which this host reads more often, in milliseconds. */
-    private static final long ASKED_MILLIS = 2_000;
+    /** The time after a query of another host in which this host reads more often. */
+    private static final long QUERIED_MILLIS = 2_000;
 
-    /** The part of the longest wait that a read takes on a host that others ask. */
-    private static final double ASKED_WAIT_PART = 0.5;
+    /** The factor on the maximum wait of a read while other hosts query this one. */
+    private static final double QUERIED_WAIT_FACTOR = 0.5;
 
-    /** The highest number of bytes of records in an answer; links drop datagrams that come all at once. */
-    private static final int ANSWER_BYTES = 4 * 1024;
+    /** The maximum size of the records in a response; links drop datagrams that arrive in bursts. */
+    private static final int MAXIMUM_RESPONSE_BYTES = 4 * 1024;
 
-    /** How often a question is sent, since a datagram may be lost. */
+    /** The number of times that a query is sent, since a datagram may be lost. */
     private static final int TRIES = 2;
 
-    /** The tools. */
-    private final ControllerContext tools;
+    private final ControllerContext context;
 
-    /** The other hosts. */
     private final PeerDirectory peers;
 
-    /** Carries questions and answers. */
-    private final MessageTransport channel;
+    private final MessageTransport transport;
 
-    /** What is known of the topics by name. */
-    private final Map<String, Known> topics = new HashMap<>();
+    /** The recent records by topic. */
+    private final Map<String, TopicState> topics = new HashMap<>();
 
-    /** The questions without an answer by number. */
-    private final Map<Long, Promise<TopicAnswer>> open = new HashMap<>();
+    /** The queries without a response, by number. */
+    private final Map<Long, Promise<TopicAnswer>> pendingQueries = new HashMap<>();
 
-    /** Notes when the log can't be read. */
-    private final DependencyMonitor reads;
+    private final DependencyMonitor readMonitor;
 
-    /** Notes when no good answer comes. */
-    private final DependencyMonitor answers;
+    private final DependencyMonitor relayMonitor;
 
-    /** The times until which hosts aren't asked. */
-    private final Map<NetworkAddress, Long> avoidedUntilMillis = new HashMap<>();
+    /** The monotonic times until which hosts are not queried. */
+    private final Map<NetworkAddress, Long> cooldownUntilMillis = new HashMap<>();
 
-    /** The number of the last question. */
-    private long number;
+    private long lastQueryNumber;
 
     /** The monotonic time of the last failed read. */
-    private long failedMillis = Long.MIN_VALUE / 2;
+    private long lastFailureMillis = Long.MIN_VALUE / 2;
 
-    /** The monotonic time of the last question of another host. */
-    private long askedMillis = Long.MIN_VALUE / 2;
+    /** The monotonic time of the last query of another host. */
+    private long lastQueriedMillis = Long.MIN_VALUE / 2;
 
-    /**
-     * Creates a relay.
-     *
-     * @param tools The tools.
-     * @param peers The other hosts.
-     * @param channel Carries questions and answers.
-     */
-    TopicRelay(ControllerContext tools, PeerDirectory peers, MessageTransport channel) {
-        this.tools = tools;
+    TopicRelay(ControllerContext context, PeerDirectory peers, MessageTransport transport) {
+        this.context = context;
         this.peers = peers;
-        this.channel = channel;
-        this.reads = new DependencyMonitor("reads of the log", tools.events());
-        this.answers = new DependencyMonitor("answers of other hosts", tools.events());
-        channel.onMessage(HostMessage._Fields.QUESTION, (message, sender) -> answer(message.getQuestion(), sender));
-        channel.onMessage(HostMessage._Fields.ANSWER, (message, sender) -> take(message.getAnswer()));
+        this.transport = transport;
+        this.readMonitor = new DependencyMonitor("reads of the log", context.events());
+        this.relayMonitor = new DependencyMonitor("answers of other hosts", context.events());
+        transport.onMessage(HostMessage._Fields.QUESTION, (message, sender) -> respond(message.getQuestion(), sender));
+        transport.onMessage(HostMessage._Fields.ANSWER, (message, sender) -> complete(message.getAnswer()));
     }
 
-    /**
-     * Tells whether this host may read for others.
-     *
-     * @return Whether it may.
-     */
+    /** Tells whether this host can read for others: it does not drain and no read failed recently. */
     boolean readsLog() {
-        return !tools.board().draining() && tools.time().monotonicMillis() - failedMillis >= FAILED_MILLIS;
+        return !context.state().draining() && context.time().monotonicMillis() - lastFailureMillis >= FAILED_MILLIS;
     }
 
-    /**
-     * Returns the host that reads and writes for this one at present.
-     *
-     * @return Its address, or empty if this host does so by itself.
-     */
+    /** Returns the host that currently reads and writes for this one, or empty if this host does so by itself. */
     Optional<NetworkAddress> reader() {
         return reader(readsLog());
     }
 
     /**
-     * Reads records, through another host if that is possible.
+     * Reads records, through another host if possible.
      *
-     * @param topic The topic.
-     * @param from The offset of the first record.
-     * @param waitMillis The longest time that a read of the log waits for a record, in milliseconds.
-     * @param maximumAgeMillis The highest age of what another host read, in milliseconds.
-     * @return The records.
+     * @param fromOffset The offset of the first record.
+     * @param waitMillis The maximum time that a read of the log waits for a record, in milliseconds.
+     * @param maximumAgeMillis The maximum age of a read by another host, in milliseconds.
      */
-    Future<TopicReadResult> read(String topic, long from, long waitMillis, long maximumAgeMillis) {
+    Future<TopicReadResult> read(String topic, long fromOffset, long waitMillis, long maximumAgeMillis) {
         Optional<NetworkAddress> reader = reader();
         if (reader.isEmpty()) {
-            return readLog(topic, from, waitMillis, maximumAgeMillis);
+            return readLog(topic, fromOffset, waitMillis, maximumAgeMillis);
         }
-        return ask(reader.get(), topic, from, maximumAgeMillis)
-                .recover(unanswered -> readLog(topic, from, waitMillis, maximumAgeMillis));
+        return query(reader.get(), topic, fromOffset, maximumAgeMillis)
+                .recover(failure -> readLog(topic, fromOffset, waitMillis, maximumAgeMillis));
     }
 
-    /**
-     * Returns the host that this one asks at present.
-     *
-     * @param ownReads Whether this host may read by itself.
-     * @return Its address, or empty if this host reads by itself.
-     */
     private Optional<NetworkAddress> reader(boolean ownReads) {
-        long now = tools.time().monotonicMillis();
+        long now = context.time().monotonicMillis();
         return peers.reader(now, ownReads)
-                .filter(address -> avoidedUntilMillis.getOrDefault(address, Long.MIN_VALUE) <= now);
+                .filter(address -> cooldownUntilMillis.getOrDefault(address, Long.MIN_VALUE) <= now);
     }
 
-    /**
-     * Reads the log; a host that is turned away asks another one.
-     *
-     * @param topic The topic.
-     * @param from The offset of the first record.
-     * @param waitMillis The longest time to wait for a record, in milliseconds.
-     * @param maximumAgeMillis The highest age of what another host read, in milliseconds.
-     * @return The records.
-     */
-    private Future<TopicReadResult> readLog(String topic, long from, long waitMillis, long maximumAgeMillis) {
-        Confirmation sent = Confirmation.now(tools.time());
-        boolean asked = sent.monotonicMillis() - askedMillis < ASKED_MILLIS;
-        return tools.log()
-                .read(topic, from, asked ? (long) (waitMillis * ASKED_WAIT_PART) : waitMillis)
-                .onSuccess(slice -> reads.reached(tools.time().monotonicMillis()))
+    /** Reads the log directly; if that fails, queries another host. */
+    private Future<TopicReadResult> readLog(String topic, long fromOffset, long waitMillis, long maximumAgeMillis) {
+        Confirmation sent = Confirmation.now(context.time());
+        boolean queried = sent.monotonicMillis() - lastQueriedMillis < QUERIED_MILLIS;
+        return context.log()
+                .read(topic, fromOffset, queried ? (long) (waitMillis * QUERIED_WAIT_FACTOR) : waitMillis)
+                .onSuccess(slice -> readMonitor.recordSuccess(context.time().monotonicMillis()))
                 .map(slice ->
-                        remember(topic, from, new TopicReadResult(slice.records(), slice.next(), sent, false, true)))
+                        cache(topic, fromOffset, new TopicReadResult(slice.records(), slice.next(), sent, false, true)))
                 .recover(failure -> {
                     if (failure instanceof SharedLogException known && known.kind() == Kind.TRIMMED) {
                         return Future.failedFuture(failure);
                     }
-                    failedMillis = tools.time().monotonicMillis();
-                    reads.failed(failedMillis, topic + ": " + failure.getMessage());
+                    lastFailureMillis = context.time().monotonicMillis();
+                    readMonitor.recordFailure(lastFailureMillis, topic + ": " + failure.getMessage());
                     return reader(false)
-                            .map(other -> ask(other, topic, from, maximumAgeMillis)
+                            .map(other -> query(other, topic, fromOffset, maximumAgeMillis)
                                     .recover(unanswered -> Future.failedFuture(failure)))
                             .orElseGet(() -> Future.failedFuture(failure));
                 });
     }
 
-    /**
-     * Asks another host for records.
-     *
-     * @param other The address of the host.
-     * @param topic The topic.
-     * @param from The offset of the first record.
-     * @param maximumAgeMillis The highest age of what it read, in milliseconds.
-     * @return The records.
-     */
-    private Future<TopicReadResult> ask(NetworkAddress other, String topic, long from, long maximumAgeMillis) {
-        Confirmation sent = Confirmation.now(tools.time());
-        return send(other, topic, from, TRIES)
+    /** Queries another host for records, and stops to query it for a time if it gives no usable response. */
+    private Future<TopicReadResult> query(NetworkAddress other, String topic, long fromOffset, long maximumAgeMillis) {
+        Confirmation sent = Confirmation.now(context.time());
+        return sendQuery(other, topic, fromOffset, TRIES)
                 .compose(answer -> {
                     if (!answer.isKnown()) {
-                        return Future.<TopicReadResult>failedFuture("not known from " + from);
+                        return Future.<TopicReadResult>failedFuture("no records kept from offset " + fromOffset);
                     }
                     if (answer.getAgeMillis() > maximumAgeMillis) {
                         return Future.<TopicReadResult>failedFuture(answer.getAgeMillis() + " ms old");
                     }
-                    return Future.succeededFuture(remember(topic, from, reading(answer, from, sent)));
+                    return Future.succeededFuture(cache(topic, fromOffset, toResult(answer, fromOffset, sent)));
                 })
-                .onSuccess(reading -> answers.reached(tools.time().monotonicMillis()))
-                .onFailure(refused -> {
-                    answers.failed(
-                            tools.time().monotonicMillis(), topic + " at " + other + ": " + refused.getMessage());
-                    avoidedUntilMillis.put(other, sent.monotonicMillis() + AVOIDED_MILLIS);
+                .onSuccess(result -> relayMonitor.recordSuccess(context.time().monotonicMillis()))
+                .onFailure(failure -> {
+                    relayMonitor.recordFailure(
+                            context.time().monotonicMillis(), topic + " at " + other + ": " + failure.getMessage());
+                    cooldownUntilMillis.put(other, sent.monotonicMillis() + COOLDOWN_MILLIS);
                 });
     }
 
-    /**
-     * Sends a question, once more if no answer comes.
-     *
-     * @param other The address of the host.
-     * @param topic The topic.
-     * @param from The offset of the first record.
-     * @param tries How often it is sent.
-     * @return The answer.
-     */
-    private Future<TopicAnswer> send(NetworkAddress other, String topic, long from, int tries) {
-        long question = ++number;
+    /** Sends a query, and repeats it without a response until the tries are used up. */
+    private Future<TopicAnswer> sendQuery(NetworkAddress other, String topic, long fromOffset, int tries) {
+        long queryNumber = ++lastQueryNumber;
         Promise<TopicAnswer> promise = Promise.promise();
-        open.put(question, promise);
-        long timer = tools.vertx().setTimer(ANSWER_MILLIS, fired -> promise.tryFail("no answer in time"));
-        channel.send(HostMessage.question(new TopicQuestion(question, topic, from)), List.of(other));
+        pendingQueries.put(queryNumber, promise);
+        long timer = context.vertx().setTimer(RESPONSE_TIMEOUT_MILLIS, fired -> promise.tryFail("no response in time"));
+        transport.send(HostMessage.question(new TopicQuestion(queryNumber, topic, fromOffset)), List.of(other));
         Future<TopicAnswer> answer = promise.future().onComplete(done -> {
-            open.remove(question);
-            tools.vertx().cancelTimer(timer);
+            pendingQueries.remove(queryNumber);
+            context.vertx().cancelTimer(timer);
         });
-        return tries == 1 ? answer : answer.recover(lost -> send(other, topic, from, tries - 1));
+        return tries == 1 ? answer : answer.recover(lost -> sendQuery(other, topic, fromOffset, tries - 1));
     }
 
-    /**
-     * Reads an answer.
-     *
-     * @param answer The answer.
-     * @param from The offset that was asked for.
-     * @param sent The time at which the question was sent.
-     * @return What the other host read.
-     */
-    private static TopicReadResult reading(TopicAnswer answer, long from, Confirmation sent) {
+    /** Converts a response; its confirmation is dated from the time at which the query was sent. */
+    private static TopicReadResult toResult(TopicAnswer answer, long fromOffset, Confirmation sent) {
         List<byte[]> records = new ArrayList<>();
         answer.getRecords().forEach(record -> {
             byte[] bytes = new byte[record.remaining()];
@@ -244,63 +184,46 @@
             records.add(bytes);
         });
         Confirmation read = answer.isComplete() ? sent.before(answer.getAgeMillis()) : Confirmation.NONE;
-        return new TopicReadResult(records, from + records.size(), read, true, answer.isComplete());
+        return new TopicReadResult(records, fromOffset + records.size(), read, true, answer.isComplete());
     }
 
-    /**
-     * Keeps what was read for questions of other hosts.
-     *
-     * @param topic The topic.
-     * @param from The offset of the first record.
-     * @param reading What was read.
-     * @return The same.
-     */
-    private TopicReadResult remember(String topic, long from, TopicReadResult reading) {
-        Known known = topics.computeIfAbsent(topic, name -> new Known());
-        known.trail.add(from, reading.records());
-        known.confirmation = known.confirmation.later(reading.confirmation());
-        return reading;
+    /** Keeps a result for queries of other hosts, and returns it. */
+    private TopicReadResult cache(String topic, long fromOffset, TopicReadResult result) {
+        TopicState state = topics.computeIfAbsent(topic, name -> new TopicState());
+        state.recent.add(fromOffset, result.records());
+        state.confirmation = state.confirmation.later(result.confirmation());
+        return result;
     }
 
-    /**
-     * Answers a question of another host.
-     *
-     * @param question The question.
-     * @param sender The address of the host.
-     */
-    private void answer(TopicQuestion question, NetworkAddress sender) {
-        Confirmation now = Confirmation.now(tools.time());
-        askedMillis = now.monotonicMillis();
-        Known known = topics.getOrDefault(question.getTopic(), new Known());
-        OptionalLong age = known.confirmation.ageMillis(now.monotonicMillis(), now.wallMillis());
-        Optional<Part> part =
-                age.isPresent() ? known.trail.since(question.getFromOffset(), ANSWER_BYTES) : Optional.empty();
+    private void respond(TopicQuestion question, NetworkAddress sender) {
+        Confirmation now = Confirmation.now(context.time());
+        lastQueriedMillis = now.monotonicMillis();
+        TopicState state = topics.getOrDefault(question.getTopic(), new TopicState());
+        OptionalLong age = state.confirmation.ageMillis(now.monotonicMillis(), now.wallMillis());
+        Optional<Part> part = age.isPresent()
+                ? state.recent.since(question.getFromOffset(), MAXIMUM_RESPONSE_BYTES)
+                : Optional.empty();
         List<ByteBuffer> buffers = new ArrayList<>();
         part.ifPresent(found -> found.records().forEach(record -> buffers.add(ByteBuffer.wrap(record))));
         boolean complete = part.map(Part::complete).orElse(false);
         TopicAnswer answer = new TopicAnswer(question.getNumber(), part.isPresent(), complete, age.orElse(0), buffers);
-        channel.send(HostMessage.answer(answer), List.of(sender));
+        transport.send(HostMessage.answer(answer), List.of(sender));
     }
 
-    /**
-     * Takes an answer; one that comes too late is dropped.
-     *
-     * @param answer The answer.
-     */
-    private void take(TopicAnswer answer) {
-        Promise<TopicAnswer> promise = open.get(answer.getNumber());
+    /** Completes the pending query of a response; a late response is dropped. */
+    private void complete(TopicAnswer answer) {
+        Promise<TopicAnswer> promise = pendingQueries.get(answer.getNumber());
         if (promise != null) {
             promise.tryComplete(answer);
         }
     }
 
-    /** What is known of a topic. */
-    private static final class Known {
+    /** What this host has read of one topic. */
+    private static final class TopicState {
 
-        /** Its newest records. */
-        private final RecentRecords trail = new RecentRecords();
+        private final RecentRecords recent = new RecentRecords();
 
-        /** The time up to which there were no other records. */
+        /** The time up to which there were no further records. */
         private Confirmation confirmation = Confirmation.NONE;
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/package-info.java
@@ -1,2 +1,2 @@
-/** The controllers that keep what a host believes up to date and do what one host does for all. */
+/** The controllers that keep the host's state up to date and do the leader's work. */
 package org.cranberrygauge.proxy.control;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
@@ -36,7 +36,7 @@
     private static final long LOOK_MILLIS = 10;
 
     /** The tools. */
-    private final ExchangeContext tools;
+    private final ExchangeContext context;
 
     /** Decides whether a request waits since the process has just started. */
     private final StartupGate hold = new StartupGate();
@@ -47,18 +47,18 @@
     /**
      * Creates a handler.
      *
-     * @param tools The tools.
+     * @param context The tools.
      * @param gate Decides which requests are taken.
      */
-    public CallerHandler(ExchangeContext tools, RequestAdmission gate) {
-        this.tools = tools;
+    public CallerHandler(ExchangeContext context, RequestAdmission gate) {
+        this.context = context;
         this.gate = gate;
     }
 
     @Override
     public void handle(HttpServerRequest request) {
-        long now = tools.time().monotonicMillis();
-        if (hold.holds(now, now, tools.board())) {
+        long now = context.time().monotonicMillis();
+        if (hold.holds(now, now, context.state())) {
             request.pause();
             holdOn(request, now);
             return;
@@ -76,8 +76,8 @@
         if (request.response().closed()) {
             return;
         }
-        if (hold.holds(tools.time().monotonicMillis(), arrivedMillis, tools.board())) {
-            tools.vertx().setTimer(LOOK_MILLIS, fired -> holdOn(request, arrivedMillis));
+        if (hold.holds(context.time().monotonicMillis(), arrivedMillis, context.state())) {
+            context.vertx().setTimer(LOOK_MILLIS, fired -> holdOn(request, arrivedMillis));
             return;
         }
         take(request, arrivedMillis);
@@ -91,20 +91,20 @@
      * @param now The monotonic time at which it arrived.
      */
     private void take(HttpServerRequest request, long now) {
-        CallerReply reply = new CallerReply(request, tools.board()::draining);
-        CallerHeaders head = tools.dialect().readCaller(request.headers());
-        ConfigurationView view = tools.board().configuration();
+        CallerReply reply = new CallerReply(request, context.state()::draining);
+        CallerHeaders head = context.dialect().readCaller(request.headers());
+        ConfigurationView view = context.state().configuration();
         String host = request.getHeader("Host");
         if (isAmbiguous(request.headers()) || host == null || head.requestId().isEmpty()) {
             reply.closeAfterAnswer();
             reject(now, request, reply, head, RejectReason.BAD_REQUEST);
             return;
         }
-        if (tools.board().closing(now)) {
+        if (context.state().closing(now)) {
             reject(now, request, reply, head, RejectReason.DRAINING);
             return;
         }
-        Decision decision = gate.decide(now, tools.time().wallMillis(), view, host, path(request), head.key());
+        Decision decision = gate.decide(now, context.time().wallMillis(), view, host, path(request), head.key());
         if (decision.rejection().isPresent()) {
             reject(now, request, reply, head, decision.rejection().get());
             return;
@@ -140,7 +140,7 @@
                     decision.urgency(),
                     now,
                     now + wait);
-            new Exchange(tools, taken, reply).start();
+            new Exchange(context, taken, reply).start();
         });
     }
 
@@ -150,10 +150,10 @@
      * @param request What was read.
      */
     void handleInvalid(HttpServerRequest request) {
-        CallerReply reply = new CallerReply(request, tools.board()::draining);
+        CallerReply reply = new CallerReply(request, context.state()::draining);
         reply.closeAfterAnswer();
-        CallerHeaders head = tools.dialect().readCaller(request.headers());
-        reject(tools.time().monotonicMillis(), request, reply, head, RejectReason.BAD_REQUEST);
+        CallerHeaders head = context.dialect().readCaller(request.headers());
+        reject(context.time().monotonicMillis(), request, reply, head, RejectReason.BAD_REQUEST);
     }
 
     /**
@@ -195,11 +195,11 @@
      */
     private void reject(
             long now, HttpServerRequest request, CallerReply reply, CallerHeaders head, RejectReason reason) {
-        ConfigurationView view = tools.board().configuration();
+        ConfigurationView view = context.state().configuration();
         request.exceptionHandler(failure -> {});
         reply.reject(reason);
-        tools.metrics().ended(NONE, NONE, reason.name());
-        tools.events()
+        context.metrics().ended(NONE, NONE, reason.name());
+        context.events()
                 .emit(new ExchangeEvents.RequestRejected(
                         head.requestId().orElse(NONE),
                         reason.name(),
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -26,7 +26,7 @@
 final class Exchange implements BackendAttempt.Listener {
 
     /** The tools. */
-    private final ExchangeContext tools;
+    private final ExchangeContext context;
 
     /** The request. */
     private final ProxyRequest request;
@@ -73,33 +73,33 @@
     /**
      * Creates an exchange.
      *
-     * @param tools The tools.
+     * @param context The tools.
      * @param request The request.
      * @param reply The answer to the caller.
      */
-    Exchange(ExchangeContext tools, ProxyRequest request, CallerReply reply) {
-        this.tools = tools;
+    Exchange(ExchangeContext context, ProxyRequest request, CallerReply reply) {
+        this.context = context;
         this.request = request;
         this.reply = reply;
-        this.report = new ExchangeRecorder(tools, request);
+        this.report = new ExchangeRecorder(context, request);
         this.lastEventId = request.head().lastEventId();
     }
 
     /** Starts the exchange. */
     void start() {
         long now = now();
-        tools.board().active().incrementAndGet();
+        context.state().active().incrementAndGet();
         reply.onGone(this::callerGone);
         if (request.endMillis() <= now) {
             reject(RejectReason.EXPIRED);
             return;
         }
-        timer = tools.vertx().setTimer(request.endMillis() - now, fired -> expire());
-        if (tools.crashes().isBlocked(request::fingerprint)) {
+        timer = context.vertx().setTimer(request.endMillis() - now, fired -> expire());
+        if (context.crashes().isBlocked(request::fingerprint)) {
             reject(RejectReason.CRASHES_BACKENDS);
             return;
         }
-        tools.budgets().of(request.pool().name()).recordRequest(now);
+        context.budgets().of(request.pool().name()).recordRequest(now);
         if (!tryNext()) {
             reject(RejectReason.NO_BACKEND);
         }
@@ -128,7 +128,7 @@
     @Override
     public void streamEnd(int status, MultiMap headers) {
         begin(status, headers);
-        tools.load(request.pool(), attempt.backend()).recordSuccess();
+        context.load(request.pool(), attempt.backend()).recordSuccess();
         reply.endStream();
         end("served", status);
     }
@@ -141,7 +141,7 @@
             failed(AttemptOutcome.SERVER_ERROR, "status " + answer.status());
             return;
         }
-        tools.load(request.pool(), attempt.backend()).recordSuccess();
+        context.load(request.pool(), attempt.backend()).recordSuccess();
         if (history.streaming()) {
             cut("resumed_with_status");
             return;
@@ -209,12 +209,12 @@
      * @param now The present monotonic time in milliseconds.
      */
     private void recordFailure(Backend backend, AttemptOutcome outcome, long now) {
-        tools.load(request.pool(), backend).recordFailure(now, outcome != AttemptOutcome.NOT_CONNECTED);
+        context.load(request.pool(), backend).recordFailure(now, outcome != AttemptOutcome.NOT_CONNECTED);
         if (outcome == AttemptOutcome.BROKEN && !request.route().kind().streams()) {
             report.began();
         }
         if (outcome == AttemptOutcome.BROKEN || outcome == AttemptOutcome.STREAM_BROKEN) {
-            tools.crashes().record(now, request.fingerprint());
+            context.crashes().record(now, request.fingerprint());
         }
     }
 
@@ -229,12 +229,12 @@
         if (outcome == AttemptOutcome.NOT_CONNECTED) {
             return true;
         }
-        if (tools.crashes().isBlocked(request::fingerprint)) {
+        if (context.crashes().isBlocked(request::fingerprint)) {
             return false;
         }
-        return tools.budgets()
+        return context.budgets()
                 .of(request.pool().name())
-                .tryAcquire(now, tools.board().peers().hosts());
+                .tryAcquire(now, context.state().peers().hosts());
     }
 
     /**
@@ -266,10 +266,10 @@
             return;
         }
         waiting = true;
-        long tokens = tools.load(request.pool(), choice.backend())
+        long tokens = context.load(request.pool(), choice.backend())
                 .uncachedTokens(request.head().prompt());
         long readMillis = (long) (tokens / BackendChooser.PREFILL_TOKENS_PER_MILLI);
-        tools.lines()
+        context.lines()
                 .of(request.pool().name())
                 .add(new Entry<>(this, request.urgency(), request.onTimeMillis() - readMillis, request.giveUpMillis()));
     }
@@ -302,14 +302,14 @@
      * @return The choice, or nothing if there is none left.
      */
     private Optional<Choice> choose(long now) {
-        return tools.chooser()
+        return context.chooser()
                 .choose(
                         now,
                         request.pool(),
-                        tools.board().backends().ready(request.pool().name()),
+                        context.state().backends().ready(request.pool().name()),
                         tried,
                         request.head().prompt(),
-                        tools.board().peers());
+                        context.state().peers());
     }
 
     /**
@@ -322,12 +322,12 @@
         Backend backend = choice.backend();
         report.chosen(choice);
         tried.add(backend.incarnation());
-        placement = tools.load(request.pool(), backend).place(request.head().prompt());
-        tools.placements().record(now, backend.incarnation(), request.head().prompt());
-        attempt = new BackendAttempt(tools.dialect(), request, backend, this);
+        placement = context.load(request.pool(), backend).place(request.head().prompt());
+        context.placements().record(now, backend.incarnation(), request.head().prompt());
+        attempt = new BackendAttempt(context.dialect(), request, backend, this);
         attemptMillis = now;
         sent = false;
-        attempt.start(tools.client(), request.endMillis() - now, lastEventId);
+        attempt.start(context.client(), request.endMillis() - now, lastEventId);
     }
 
     /**
@@ -345,7 +345,7 @@
         history = history.withStart();
         report.first(now());
         MultiMap passed = MultiMap.caseInsensitiveMultiMap();
-        tools.dialect().copyAnswer(headers, passed);
+        context.dialect().copyAnswer(headers, passed);
         reply.startStream(status, passed);
     }
 
@@ -357,7 +357,7 @@
      */
     private void passOn(WholeAnswer answer, String outcome) {
         MultiMap passed = MultiMap.caseInsensitiveMultiMap();
-        tools.dialect().copyAnswer(answer.headers(), passed);
+        context.dialect().copyAnswer(answer.headers(), passed);
         reply.passOn(answer.status(), passed, answer.body());
         end(outcome, answer.status());
     }
@@ -424,10 +424,10 @@
      */
     private void end(String outcome, int status) {
         over = true;
-        tools.vertx().cancelTimer(timer);
-        tools.board().active().decrementAndGet();
+        context.vertx().cancelTimer(timer);
+        context.state().active().decrementAndGet();
         if (waiting) {
-            tools.lines().of(request.pool().name()).remove(this);
+            context.lines().of(request.pool().name()).remove(this);
         }
         if (placement != null) {
             placement.end();
@@ -442,6 +442,6 @@
      * @return The monotonic time in milliseconds.
      */
     private long now() {
-        return tools.time().monotonicMillis();
+        return context.time().monotonicMillis();
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
@@ -17,7 +17,7 @@
  *
  * @param vertx The Vert.x instance.
  * @param time The clocks.
- * @param board What the host believes.
+ * @param state What the host believes.
  * @param client Opens connections to backend servers.
  * @param dialect Translates headers.
  * @param chooser Chooses backend servers.
@@ -34,7 +34,7 @@
 public record ExchangeContext(
         Vertx vertx,
         TimeSource time,
-        ProxyState board,
+        ProxyState state,
         BackendClient client,
         HeaderCodec dialect,
         BackendChooser chooser,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeRecorder.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeRecorder.java
@@ -17,7 +17,7 @@
     private static final String NO_CUSTOMER = "-";
 
     /** The tools. */
-    private final ExchangeContext tools;
+    private final ExchangeContext context;
 
     /** The request. */
     private final ProxyRequest request;
@@ -34,11 +34,11 @@
     /**
      * Creates a report.
      *
-     * @param tools The tools.
+     * @param context The tools.
      * @param request The request.
      */
-    ExchangeRecorder(ExchangeContext tools, ProxyRequest request) {
-        this.tools = tools;
+    ExchangeRecorder(ExchangeContext context, ProxyRequest request) {
+        this.context = context;
         this.request = request;
     }
 
@@ -60,7 +60,7 @@
      */
     void first(long nowMillis) {
         firstMillis = nowMillis - request.receivedMillis();
-        tools.metrics().first(request.route().name(), customer(), firstMillis);
+        context.metrics().first(request.route().name(), customer(), firstMillis);
     }
 
     /** Counts the request as one that began to run, once. */
@@ -70,7 +70,7 @@
         }
         counted = true;
         request.customer()
-                .ifPresent(name -> tools.usage().count(tools.usageTime().wallMillis(), name));
+                .ifPresent(name -> context.usage().count(context.usageTime().wallMillis(), name));
     }
 
     /**
@@ -92,8 +92,8 @@
             AttemptHistory history,
             long remainingMillis,
             long afterMillis) {
-        tools.metrics().attemptFailed(request.pool().name(), outcome.name());
-        tools.events()
+        context.metrics().attemptFailed(request.pool().name(), outcome.name());
+        context.events()
                 .emit(new ExchangeEvents.AttemptFailed(
                         request.id(),
                         backend.id(),
@@ -115,8 +115,8 @@
      * @param attempts The attempts that were sent.
      */
     void ended(long nowMillis, String outcome, int status, String backend, int attempts) {
-        tools.metrics().ended(request.route().name(), customer(), outcome);
-        tools.events()
+        context.metrics().ended(request.route().name(), customer(), outcome);
+        context.events()
                 .emit(new ExchangeEvents.RequestEnded(
                         request.id(),
                         request.route().name(),
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
@@ -16,14 +16,14 @@
      *
      * @param nowMillis The present monotonic time in milliseconds.
      * @param arrivedMillis The monotonic time at which the request arrived, in milliseconds.
-     * @param board What the host believes.
+     * @param state What the host believes.
      * @return Whether it waits.
      */
-    boolean holds(long nowMillis, long arrivedMillis, ProxyState board) {
-        if (board.draining() || nowMillis - arrivedMillis >= HOLD_MILLIS) {
+    boolean holds(long nowMillis, long arrivedMillis, ProxyState state) {
+        if (state.draining() || nowMillis - arrivedMillis >= HOLD_MILLIS) {
             return false;
         }
-        return board.configuration().configuration().isEmpty()
-                || !board.backends().known();
+        return state.configuration().configuration().isEmpty()
+                || !state.backends().known();
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/Confirmation.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/Confirmation.java
@@ -4,38 +4,32 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * The time at which a read was sent that showed what is known to be the newest, by two clocks.
+ * The time, by two clocks, at which a read was sent that confirmed some state as the newest.
  *
- * <p>The monotonic clock stands still while a host is suspended; a time of day that ran ahead of it tells so, and then the age
- * is unknown.
+ * <p>The monotonic clock stops while a host is suspended. A wall clock that ran ahead of it reveals that, and the age
+ * is then unknown.
  *
  * @param monotonicMillis The monotonic time in milliseconds.
- * @param wallMillis The time of day in milliseconds of the epoch.
+ * @param wallMillis The wall-clock time in milliseconds since the epoch.
  */
 public record Confirmation(long monotonicMillis, long wallMillis) {
 
-    /** The difference between the clocks above which the host may have been suspended, in milliseconds. */
+    /** The difference between the clocks from which the host may have been suspended. */
     private static final long CLOCK_TOLERANCE_MILLIS = 300;
 
-    /** The confirmation of what was never read. */
+    /** Stands for state that was never read. */
     public static final Confirmation NONE = new Confirmation(Long.MIN_VALUE / 4, Long.MIN_VALUE / 4);
 
-    /**
-     * Returns the confirmation of a read that is sent now.
-     *
-     * @param time The clocks.
-     * @return The confirmation.
-     */
+    /** Returns the confirmation for a read that is sent now. */
     public static Confirmation now(TimeSource time) {
         return new Confirmation(time.monotonicMillis(), time.wallMillis());
     }
 
     /**
-     * Tells how long ago the read was sent.
+     * Returns the time since the read was sent in milliseconds, or empty if the host may have been suspended since.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param nowWallMillis The present time of day in milliseconds of the epoch.
-     * @return The age in milliseconds, or empty if the host may have been suspended since.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param nowWallMillis The current wall-clock time in milliseconds since the epoch.
      */
     public OptionalLong ageMillis(long nowMillis, long nowWallMillis) {
         long age = nowMillis - monotonicMillis;
@@ -44,21 +38,15 @@
     }
 
     /**
-     * Returns the confirmation of a read that another host had sent before it was asked at this time.
+     * Returns the confirmation for a read that another host had sent before it was queried at this time.
      *
-     * @param ageMillis The age of the read when the other host answered, in milliseconds.
-     * @return The confirmation.
+     * @param ageMillis The age of that read when the other host responded, in milliseconds.
      */
     public Confirmation before(long ageMillis) {
         return new Confirmation(monotonicMillis - ageMillis, wallMillis - ageMillis);
     }
 
-    /**
-     * Returns the later of two confirmations.
-     *
-     * @param other The other confirmation.
-     * @return The later one.
-     */
+    /** Returns the later of two confirmations. */
     public Confirmation later(Confirmation other) {
         return other.monotonicMillis > monotonicMillis ? other : this;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/KeyedRecord.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/KeyedRecord.java
@@ -6,27 +6,24 @@
 import java.util.Optional;
 
 /**
- * A record of a topic in which the newest record of each key counts.
+ * A record of a topic in which the newest record of each key is authoritative.
  *
- * @param key The key.
- * @param value The value, or nothing if the key is dropped.
+ * @param value The value, or empty if the record deletes the key.
  */
 public record KeyedRecord(String key, Optional<byte[]> value) {
 
-    /** The bits of a byte that hold an unsigned length. */
-    private static final int UNSIGNED_BYTE = 0xff;
+    private static final int UNSIGNED_BYTE_MASK = 0xff;
 
     /**
-     * Reads a record: one byte with the length of the key, the key, and the value.
+     * Parses a record: one byte with the length of the key, the key, and the value. An empty value deletes the key.
      *
-     * @param bytes The bytes.
-     * @return The record, or nothing if the bytes are too short.
+     * @return The record, or empty if the bytes are too short.
      */
     public static Optional<KeyedRecord> parse(byte[] bytes) {
         if (bytes.length == 0) {
             return Optional.empty();
         }
-        int length = bytes[0] & UNSIGNED_BYTE;
+        int length = bytes[0] & UNSIGNED_BYTE_MASK;
         if (bytes.length < 1 + length) {
             return Optional.empty();
         }
@@ -35,18 +32,14 @@
         return Optional.of(new KeyedRecord(key, value.length == 0 ? Optional.empty() : Optional.of(value)));
     }
 
-    /**
-     * Writes the record.
-     *
-     * @return The bytes.
-     */
+    /** Serializes the record in the format that {@link #parse(byte[])} reads. */
     public byte[] bytes() {
-        byte[] name = key.getBytes(StandardCharsets.UTF_8);
-        byte[] content = value.orElseGet(() -> new byte[0]);
-        return ByteBuffer.allocate(1 + name.length + content.length)
-                .put((byte) name.length)
-                .put(name)
-                .put(content)
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        byte[] valueBytes = value.orElseGet(() -> new byte[0]);
+        return ByteBuffer.allocate(1 + keyBytes.length + valueBytes.length)
+                .put((byte) keyBytes.length)
+                .put(keyBytes)
+                .put(valueBytes)
                 .array();
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/RecentRecords.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/RecentRecords.java
@@ -7,78 +7,73 @@
 import java.util.Optional;
 
 /**
- * The newest records of a topic, kept so that they can be passed on to other hosts.
+ * The newest records of a topic, retained to be relayed to other hosts.
  *
- * <p>Invariant: the records are those of all offsets from the first kept one up to the end. Used by one thread.
+ * <p>Invariant: the records are contiguous, from the first retained offset up to the end. Not thread-safe.
  */
 public final class RecentRecords {
 
-    /** The highest number of bytes that are kept. */
-    private static final int KEPT_BYTES = 128 * 1024;
+    /** The maximum size of all retained records. */
+    private static final int MAXIMUM_BYTES = 128 * 1024;
 
-    /** The records in order. */
     private final Deque<byte[]> records = new ArrayDeque<>();
 
-    /** The offset after the last record. */
+    /** The offset after the last record; -1 before the first. */
     private long end = -1;
 
-    /** The bytes of all records that are kept. */
-    private int bytes;
+    private int totalBytes;
 
     /**
-     * Adds records; those before them are forgotten if there is a gap.
+     * Adds records. If they don't continue at the end, all earlier records are discarded.
      *
      * @param first The offset of the first record.
-     * @param added The records.
      */
     public void add(long first, List<byte[]> added) {
         if (first != end) {
             records.clear();
-            bytes = 0;
+            totalBytes = 0;
             end = first;
         }
         for (byte[] record : added) {
             records.addLast(record);
-            bytes += record.length;
+            totalBytes += record.length;
             end++;
         }
-        while (bytes > KEPT_BYTES) {
-            bytes -= records.removeFirst().length;
+        while (totalBytes > MAXIMUM_BYTES) {
+            totalBytes -= records.removeFirst().length;
         }
     }
 
     /**
      * Returns the records from an offset on.
      *
-     * @param next The offset.
-     * @param maximumBytes The highest number of bytes to return.
-     * @return The records, or empty if the first of them is no longer kept or has more bytes.
+     * @param maximumBytes The maximum size of the returned records.
+     * @return The records, or empty if the first of them is not retained or exceeds the maximum.
      */
-    public Optional<Part> since(long next, int maximumBytes) {
+    public Optional<Part> since(long fromOffset, int maximumBytes) {
         long offset = end - records.size();
-        if (end < 0 || next < offset) {
+        if (end < 0 || fromOffset < offset) {
             return Optional.empty();
         }
-        List<byte[]> wanted = new ArrayList<>();
+        List<byte[]> found = new ArrayList<>();
         int size = 0;
         for (byte[] record : records) {
-            if (offset >= next) {
+            if (offset >= fromOffset) {
                 size += record.length;
                 if (size > maximumBytes) {
-                    return wanted.isEmpty() ? Optional.empty() : Optional.of(new Part(wanted, false));
+                    return found.isEmpty() ? Optional.empty() : Optional.of(new Part(found, false));
                 }
-                wanted.add(record);
+                found.add(record);
             }
             offset++;
         }
-        return Optional.of(new Part(wanted, true));
+        return Optional.of(new Part(found, true));
     }
 
     /**
-     * Records in order.
+     * Consecutive records.
      *
-     * @param records The records.
-     * @param complete Whether there are no others after them.
+     * @param complete Whether no further records follow.
      */
     public record Part(List<byte[]> records, boolean complete) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/RecordReader.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/RecordReader.java
@@ -1,21 +1,16 @@
 package org.cranberrygauge.proxy.store;
 
 /**
- * Reads the values that others write into the shared log.
- *
- * <p>Implementations are stateless and safe for use by several threads.
+ * Decodes the values that other processes write to the shared log. Implementations are stateless and thread-safe.
  *
  * @param <T> The type of the values.
  */
 public interface RecordReader<T> {
 
     /**
-     * Reads a value.
+     * Decodes the value of a key.
      *
-     * @param key The key.
-     * @param value The bytes.
-     * @return The value.
-     * @throws UnreadableRecordException If the bytes can't be understood.
+     * @throws UnreadableRecordException If the bytes are not a valid value.
      */
     T read(String key, byte[] value) throws UnreadableRecordException;
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/SharedLog.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/SharedLog.java
@@ -8,72 +8,45 @@
 /**
  * A log with topics that all hosts share.
  *
- * <p>Failures are {@link SharedLogException}s. An append that fails without an answer may still be carried out. Safe for use
- * by several threads.
+ * <p>Calls fail with {@link SharedLogException}. An append that fails without a response may still be carried out.
+ * Thread-safe.
  */
 public interface SharedLog {
 
     /**
-     * Appends a record.
+     * Appends a record and returns its offset.
      *
-     * @param topic The topic.
-     * @param record The record.
-     * @param expectedEnd The offset at which the topic must end, or nothing if it may end anywhere.
-     * @return The offset of the record.
+     * @param expectedEnd The offset at which the topic must end, or empty to append unconditionally.
      */
     Future<Long> append(String topic, byte[] record, OptionalLong expectedEnd);
 
-    /**
-     * Appends a record that replaces those of the same key.
-     *
-     * @param topic The topic.
-     * @param key The key.
-     * @param value The value.
-     * @return The offset of the record.
-     */
+    /** Appends a record that replaces earlier ones of the same key, and returns its offset. */
     Future<Long> put(String topic, String key, byte[] value);
 
     /**
      * Reads records.
      *
-     * @param topic The topic.
-     * @param from The offset of the first record.
-     * @param waitMillis The longest time to wait for a record, in milliseconds.
-     * @return The records.
+     * @param fromOffset The offset of the first record.
+     * @param waitMillis The maximum time to wait for a record, in milliseconds.
      */
-    Future<LogSlice> read(String topic, long from, long waitMillis);
+    Future<LogSlice> read(String topic, long fromOffset, long waitMillis);
 
-    /**
-     * Reads the newest record of each key.
-     *
-     * @param topic The topic.
-     * @return The values.
-     */
+    /** Reads the newest value of each key. */
     Future<KeyedValues> newest(String topic);
 
     /**
-     * Joins a group or stays in it; a group deals the parts of its topic among its members.
+     * Joins a group or renews the membership. A group assigns the partitions of its topic to its members.
      *
-     * @param group The group.
-     * @param member The member.
-     * @param topic The topic.
-     * @param lifetimeMillis The time without a join after which the member is dropped, in milliseconds.
-     * @param generation The last generation that the member was told, or 0.
-     * @return What the member holds.
+     * @param lifetimeMillis The time without a join after which the member is removed, in milliseconds.
+     * @param generation The last generation that the member received; 0 before the first.
      */
     Future<GroupAssignment> join(String group, String member, String topic, long lifetimeMillis, long generation);
 
-    /**
-     * Leaves a group.
-     *
-     * @param group The group.
-     * @param member The member.
-     * @return The end of the call.
-     */
+    /** Leaves a group. */
     Future<Void> leave(String group, String member);
 
     /**
-     * Records that were read.
+     * The result of a read.
      *
      * @param end The offset at which the topic ends.
      * @param next The offset after the last record that was read.
@@ -84,16 +57,15 @@
     /**
      * The newest value of each key.
      *
-     * @param values The values by key.
-     * @param end The offset from which later records are read.
+     * @param end The offset from which later records are to be read.
      */
     record KeyedValues(Map<String, byte[]> values, long end) {}
 
     /**
-     * What a member of a group holds.
+     * The assignment of a group member.
      *
-     * @param generation The generation, which rises with each change of the group.
-     * @param holdsFirst Whether the member holds the first part of the topic, which only one member does.
+     * @param generation The generation, which increases with each change of the group.
+     * @param holdsFirst Whether the member holds the topic's first partition, which only one member does.
      */
     record GroupAssignment(long generation, boolean holdsFirst) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/store/package-info.java
@@ -1,2 +1,2 @@
-/** The shared log in which everything lasts that outlives a host. */
+/** The shared log, which holds all state that outlives a host. */
 package org.cranberrygauge.proxy.store;
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/HostChannelTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/HostChannelTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Answers the pattern of a large fleet, whose reports are larger than a usual datagram. */
+/** Guards against truncated reports in large fleets, whose reports exceed the default size of a datagram. */
 class HostChannelTest {
 
     private static final int BACKENDS = 200;
@@ -41,17 +41,17 @@
     }
 
     @Test
-    void carriesTheReportOfAHostWithManyBackendServers() throws Exception {
+    void deliversAReportAboutManyBackendServers() throws Exception {
         Map<String, BackendWork> work = new HashMap<>();
         for (int index = 0; index < BACKENDS; index++) {
             work.put("backend-server-" + index, new BackendWork(1, 1_000, 20_000, 1));
         }
         HostReport report = new HostReport("host-1", 1, 1, work, List.of(), List.of(), "east", true);
-        CompletableFuture<HostReport> heard = new CompletableFuture<>();
-        channel.onMessage(HostMessage._Fields.REPORT, (message, sender) -> heard.complete(message.getReport()));
+        CompletableFuture<HostReport> received = new CompletableFuture<>();
+        channel.onMessage(HostMessage._Fields.REPORT, (message, sender) -> received.complete(message.getReport()));
         await(channel.start());
         channel.send(HostMessage.report(report), List.of(new NetworkAddress("127.0.0.1", channel.port())));
-        assertThat(heard.get(LIMIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(report);
+        assertThat(received.get(LIMIT_SECONDS, TimeUnit.SECONDS)).isEqualTo(report);
     }
 
     private static void await(Future<Void> future) throws Exception {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/TopicRelayTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/TopicRelayTest.java
@@ -27,24 +27,24 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Answers who reads the log, and how old what is passed on counts, with two hosts of one data centre. */
+/** Guards which of two hosts of a data centre reads the log, and how relayed reads are dated. */
 class TopicRelayTest {
 
     private static final String TOPIC = "records";
 
     private static final long WALL = 1_000_000;
 
-    private static final long ANSWER_LIMIT_SECONDS = 10;
+    private static final long RESPONSE_TIMEOUT_SECONDS = 10;
 
     private final Vertx vertx = Vertx.vertx();
 
-    private final Clock clock = new Clock();
+    private final FakeClock clock = new FakeClock();
 
-    private final Network network = new Network();
+    private final FakeNetwork network = new FakeNetwork();
 
-    private final Log firstLog = new Log();
+    private final FakeLog firstLog = new FakeLog();
 
-    private final Log secondLog = new Log();
+    private final FakeLog secondLog = new FakeLog();
 
     private final TopicRelay first = host("host-1", firstLog, "host-2");
 
@@ -56,35 +56,35 @@
     }
 
     @Test
-    void theFirstHostReadsAndTheOtherAsksIt() throws Exception {
+    void theFirstHostReadsAndTheOtherQueriesIt() throws Exception {
         firstLog.records = List.of(new byte[] {1}, new byte[] {2});
         read(first, 5);
-        TopicReadResult reading = read(second, 6);
-        assertThat(reading.relayed()).isTrue();
-        assertThat(reading.records()).containsExactly(new byte[] {2});
-        assertThat(reading.next()).isEqualTo(7);
+        TopicReadResult result = read(second, 6);
+        assertThat(result.relayed()).isTrue();
+        assertThat(result.records()).containsExactly(new byte[] {2});
+        assertThat(result.next()).isEqualTo(7);
         assertThat(secondLog.reads).isZero();
     }
 
     @Test
-    void whatIsPassedOnIsAsOldAsTheRead() throws Exception {
+    void aRelayedResultIsAsOldAsTheRead() throws Exception {
         read(first, 5);
         clock.advance(400);
-        TopicReadResult reading = read(second, 5);
-        assertThat(reading.relayed()).isTrue();
-        assertThat(reading.confirmation().monotonicMillis()).isEqualTo(clock.now - 400);
+        TopicReadResult result = read(second, 5);
+        assertThat(result.relayed()).isTrue();
+        assertThat(result.confirmation().monotonicMillis()).isEqualTo(clock.now - 400);
     }
 
     @Test
-    void anAnswerThatWasHeldUpCountsFromTheQuestion() throws Exception {
+    void aDelayedResponseIsDatedFromTheQuery() throws Exception {
         read(first, 5);
-        network.heldUp = () -> clock.advance(3_000);
-        long asked = clock.now;
-        assertThat(read(second, 5).confirmation().monotonicMillis()).isLessThanOrEqualTo(asked);
+        network.beforeResponse = () -> clock.advance(3_000);
+        long queried = clock.now;
+        assertThat(read(second, 5).confirmation().monotonicMillis()).isLessThanOrEqualTo(queried);
     }
 
     @Test
-    void aHostReadsByItselfWhereTheAnswerIsTooOldOrMissing() throws Exception {
+    void aHostReadsByItselfIfTheResponseIsTooOldOrMissing() throws Exception {
         read(first, 5);
         clock.advance(900);
         network.report("host-1", second);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void manyRecordsComeInSeveralAnswersOfWhichTheLastConfirms() throws Exception {
+    void manyRecordsArriveInSeveralResponsesOfWhichTheLastConfirms() throws Exception {
         firstLog.records = List.of(new byte[3_000], new byte[3_000]);
         read(first, 5);
         TopicReadResult part = read(second, 5);
@@ -110,27 +110,27 @@
     }
 
     @Test
-    void aQuestionIsAskedAgainWhenADatagramIsLost() throws Exception {
+    void aQueryIsRepeatedWhenADatagramIsLost() throws Exception {
         read(first, 5);
         network.lost = 1;
         assertThat(read(second, 5).relayed()).isTrue();
     }
 
     @Test
-    void aHostReadsByItselfWhatTheOtherNoLongerHas() throws Exception {
+    void aHostReadsRecordsByItselfThatTheOtherNoLongerHas() throws Exception {
         read(first, 5);
         assertThat(read(second, 3).relayed()).isFalse();
     }
 
     @Test
-    void aHostWhoseClockStoodStillPassesNothingOn() throws Exception {
+    void aHostThatWasSuspendedRelaysNothing() throws Exception {
         read(first, 5);
         clock.wall += 5_000;
         assertThat(read(second, 5).relayed()).isFalse();
     }
 
     @Test
-    void aHostThatTheLogTurnsAwayAsksTheOther() throws Exception {
+    void aHostThatTheLogRejectsQueriesTheOther() throws Exception {
         read(second, 5);
         firstLog.failure = new SharedLogException(SharedLogException.Kind.TURNED_AWAY, "turned away");
         assertThat(read(first, 5).relayed()).isTrue();
@@ -150,23 +150,23 @@
         return relay.read(TOPIC, from, 1_000, 800)
                 .toCompletionStage()
                 .toCompletableFuture()
-                .get(ANSWER_LIMIT_SECONDS, TimeUnit.SECONDS);
+                .get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private TopicRelay host(String name, Log log, String other) {
+    private TopicRelay host(String name, FakeLog log, String other) {
         PeerDirectory peers = new PeerDirectory(name, "east");
-        peers.take(clock.now, report(other, 1), network.address(other));
+        peers.update(clock.now, report(other, 1), network.address(other));
         network.directories.put(name, peers);
-        ControllerContext tools = new ControllerContext(vertx, clock, log, new ProxyState(), EventLog.NoOp.INSTANCE);
-        return new TopicRelay(tools, peers, network.carrier(name));
+        ControllerContext context = new ControllerContext(vertx, clock, log, new ProxyState(), EventLog.NoOp.INSTANCE);
+        return new TopicRelay(context, peers, network.transport(name));
     }
 
     private static HostReport report(String host, long sequence) {
         return new HostReport(host, 1, sequence, Map.of(), List.of(), List.of(), "east", true);
     }
 
-    /** A clock that is set by hand. */
-    private static final class Clock implements TimeSource {
+    /** A clock that advances only on request. */
+    private static final class FakeClock implements TimeSource {
 
         private long now = 10_000;
 
@@ -188,15 +188,15 @@
         }
     }
 
-    /** Hands messages over at once, unless it is broken. */
-    private final class Network {
+    /** Delivers messages synchronously unless it is broken. */
+    private final class FakeNetwork {
 
-        private final Map<NetworkAddress, Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>>> takers =
+        private final Map<NetworkAddress, Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>>> handlers =
                 new HashMap<>();
 
         private final Map<String, PeerDirectory> directories = new HashMap<>();
 
-        private Runnable heldUp = () -> {};
+        private Runnable beforeResponse = () -> {};
 
         private boolean broken;
 
@@ -208,18 +208,18 @@
 
         void report(String host, TopicRelay to) {
             assertThat(to).isSameAs(second);
-            directories.get("host-2").take(clock.now, TopicRelayTest.report(host, clock.now), address(host));
+            directories.get("host-2").update(clock.now, TopicRelayTest.report(host, clock.now), address(host));
         }
 
-        MessageTransport carrier(String host) {
-            Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>> own =
+        MessageTransport transport(String host) {
+            Map<HostMessage._Fields, BiConsumer<HostMessage, NetworkAddress>> ownHandlers =
                     new EnumMap<>(HostMessage._Fields.class);
-            takers.put(address(host), own);
+            handlers.put(address(host), ownHandlers);
             return new MessageTransport() {
 
                 @Override
-                public void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> taker) {
-                    own.put(kind, taker);
+                public void onMessage(HostMessage._Fields kind, BiConsumer<HostMessage, NetworkAddress> handler) {
+                    ownHandlers.put(kind, handler);
                 }
 
                 @Override
@@ -229,10 +229,10 @@
                         return;
                     }
                     if (message.getSetField() == HostMessage._Fields.ANSWER) {
-                        heldUp.run();
+                        beforeResponse.run();
                     }
                     receivers.forEach(receiver ->
-                            takers.get(receiver).get(message.getSetField()).accept(copy(message), address(host)));
+                            handlers.get(receiver).get(message.getSetField()).accept(copy(message), address(host)));
                 }
             };
         }
@@ -247,7 +247,7 @@
     }
 
     /** A log with fixed records, or one that fails. */
-    private static final class Log implements SharedLog {
+    private static final class FakeLog implements SharedLog {
 
         private List<byte[]> records = List.of();
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
@@ -15,26 +15,26 @@
 
     private final StartupGate hold = new StartupGate();
 
-    private final ProxyState board = new ProxyState();
+    private final ProxyState state = new ProxyState();
 
     @Test
     void aRequestWaitsUntilConfigurationAndBackendServersAreKnown() {
-        assertThat(hold.holds(100, 0, board)).isTrue();
-        board.publish(new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(0, 0)));
-        assertThat(hold.holds(150, 0, board)).isTrue();
-        board.publish(new BackendSnapshot(List.of(), true));
-        assertThat(hold.holds(160, 0, board)).isFalse();
+        assertThat(hold.holds(100, 0, state)).isTrue();
+        state.publish(new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(0, 0)));
+        assertThat(hold.holds(150, 0, state)).isTrue();
+        state.publish(new BackendSnapshot(List.of(), true));
+        assertThat(hold.holds(160, 0, state)).isFalse();
     }
 
     @Test
     void aRequestDoesNotWaitForLong() {
-        assertThat(hold.holds(399, 0, board)).isTrue();
-        assertThat(hold.holds(400, 0, board)).isFalse();
+        assertThat(hold.holds(399, 0, state)).isTrue();
+        assertThat(hold.holds(400, 0, state)).isFalse();
     }
 
     @Test
     void aRequestDoesNotWaitWhileTheHostDrains() {
-        board.drain(0);
-        assertThat(hold.holds(1, 0, board)).isFalse();
+        state.drain(0);
+        assertThat(hold.holds(1, 0, state)).isFalse();
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/store/KeyedRecordTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/store/KeyedRecordTest.java
@@ -9,7 +9,7 @@
 class KeyedRecordTest {
 
     @Test
-    void aRecordIsReadAsItWasWritten() {
+    void aSerializedRecordParsesToTheSameRecord() {
         byte[] value = "value".getBytes(StandardCharsets.UTF_8);
         KeyedRecord read = KeyedRecord.parse(new KeyedRecord("key", Optional.of(value)).bytes())
                 .orElseThrow();
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void aRecordWithoutAValueDropsItsKey() {
+    void aRecordWithoutAValueDeletesItsKey() {
         assertThat(KeyedRecord.parse(new KeyedRecord("key", Optional.empty()).bytes())
                         .orElseThrow()
                         .value())
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void bytesThatAreTooShortAreNoRecord() {
+    void bytesThatAreTooShortAreRejected() {
         assertThat(KeyedRecord.parse(new byte[0])).isEmpty();
         assertThat(KeyedRecord.parse(new byte[] {5, 'a'})).isEmpty();
     }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/store/RecentRecordsTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/store/RecentRecordsTest.java
@@ -12,50 +12,50 @@
 
     private static final byte[] SECOND = {2, 2};
 
-    private final RecentRecords trail = new RecentRecords();
+    private final RecentRecords recent = new RecentRecords();
 
     @Test
-    void knowsNothingBeforeTheFirstRead() {
-        assertThat(trail.since(0, 100)).isEmpty();
+    void returnsNothingBeforeTheFirstRead() {
+        assertThat(recent.since(0, 100)).isEmpty();
     }
 
     @Test
-    void returnsWhatFollowsAnOffset() {
-        trail.add(7, List.of(FIRST, SECOND));
-        assertThat(trail.since(7, 100)).contains(new Part(List.of(FIRST, SECOND), true));
-        assertThat(trail.since(8, 100)).contains(new Part(List.of(SECOND), true));
-        assertThat(trail.since(9, 100)).contains(new Part(List.of(), true));
-        assertThat(trail.since(12, 100)).contains(new Part(List.of(), true));
+    void returnsTheRecordsFromAnOffsetOn() {
+        recent.add(7, List.of(FIRST, SECOND));
+        assertThat(recent.since(7, 100)).contains(new Part(List.of(FIRST, SECOND), true));
+        assertThat(recent.since(8, 100)).contains(new Part(List.of(SECOND), true));
+        assertThat(recent.since(9, 100)).contains(new Part(List.of(), true));
+        assertThat(recent.since(12, 100)).contains(new Part(List.of(), true));
     }
 
     @Test
-    void doesNotKnowWhatCameBeforeTheFirstKeptRecord() {
-        trail.add(7, List.of(FIRST));
-        assertThat(trail.since(6, 100)).isEmpty();
+    void returnsNothingFromBeforeTheFirstRetainedRecord() {
+        recent.add(7, List.of(FIRST));
+        assertThat(recent.since(6, 100)).isEmpty();
     }
 
     @Test
-    void forgetsWhatLiesBeforeAGap() {
-        trail.add(7, List.of(FIRST));
-        trail.add(10, List.of(SECOND));
-        assertThat(trail.since(7, 100)).isEmpty();
-        assertThat(trail.since(10, 100)).contains(new Part(List.of(SECOND), true));
+    void discardsRecordsBeforeAGap() {
+        recent.add(7, List.of(FIRST));
+        recent.add(10, List.of(SECOND));
+        assertThat(recent.since(7, 100)).isEmpty();
+        assertThat(recent.since(10, 100)).contains(new Part(List.of(SECOND), true));
     }
 
     @Test
-    void returnsAPartWhereAllOfItIsTooMuch() {
-        trail.add(0, List.of(FIRST, SECOND));
-        assertThat(trail.since(0, 2)).contains(new Part(List.of(FIRST), false));
-        assertThat(trail.since(1, 1)).isEmpty();
-        assertThat(trail.since(1, 2)).contains(new Part(List.of(SECOND), true));
+    void returnsAPartIfAllRecordsExceedTheMaximum() {
+        recent.add(0, List.of(FIRST, SECOND));
+        assertThat(recent.since(0, 2)).contains(new Part(List.of(FIRST), false));
+        assertThat(recent.since(1, 1)).isEmpty();
+        assertThat(recent.since(1, 2)).contains(new Part(List.of(SECOND), true));
     }
 
     @Test
-    void keepsABoundedNumberOfBytes() {
+    void retainsABoundedNumberOfBytes() {
         byte[] large = new byte[100_000];
-        trail.add(0, List.of(large));
-        trail.add(1, List.of(large, FIRST));
-        assertThat(trail.since(0, 1_000_000)).isEmpty();
-        assertThat(trail.since(1, 1_000_000)).contains(new Part(List.of(large, FIRST), true));
+        recent.add(0, List.of(large));
+        recent.add(1, List.of(large, FIRST));
+        assertThat(recent.since(0, 1_000_000)).isEmpty();
+        assertThat(recent.since(1, 1_000_000)).contains(new Part(List.of(large, FIRST), true));
     }
 }
