--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -152,7 +152,7 @@
      */
     public int stop() {
         long startMillis = time.monotonicMillis();
-        state.drain(startMillis);
+        state.startDraining(startMillis);
         events.emit(new ProxyEvents.ProxyDraining(state.active().get()));
         control.runOnContext(run -> election.leave());
         DrainWait wait = new DrainWait(startMillis, settings.times().graceMillis());
@@ -213,7 +213,7 @@
             AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
         LoadTable loads = new LoadTable();
-        PoolWaitQueues lines = new PoolWaitQueues();
+        PoolWaitQueues queues = new PoolWaitQueues();
         ExchangeMetrics metrics = new ExchangeMetrics(registry);
         HostMetrics hostMetrics = new HostMetrics(registry);
         ExchangeContext context = new ExchangeContext(
@@ -221,11 +221,11 @@
                 time,
                 state,
                 new BackendClient(vertx),
-                sources.dialect(),
+                sources.codec(),
                 new BackendChooser(settings.dataCentre(), loads, new SplittableRandom()),
                 loads,
                 placements,
-                lines,
+                queues,
                 new PoolRetryBudgets(times.retryWindowMillis(), times.retryRatio(), times.retryAllowance()),
                 crashes,
                 usage,
@@ -233,12 +233,12 @@
                 metrics,
                 events);
         RequestAdmission gate = new RequestAdmission(keyBoundMillis(), times.configurationMillis());
-        vertx.setPeriodic(ADVANCE_MILLIS, fired -> lines.advance(time.monotonicMillis()));
+        vertx.setPeriodic(ADVANCE_MILLIS, fired -> queues.dispatch(time.monotonicMillis()));
         vertx.setPeriodic(PUBLISH_MILLIS, fired -> {
             placements.applyTo(loads);
             ownWork.set(loads.work());
             loads.removeUnlisted(state.backends());
-            publish(hostMetrics, lines.size());
+            publish(hostMetrics, queues.size());
         });
         return new IngressServer(vertx, new CallerHandler(context, gate))
                 .listen(settings.front())
@@ -254,8 +254,8 @@
      */
     private void publish(HostMetrics metrics, int waiting) {
         ConfigurationView view = state.configuration();
-        metrics.requests(state.active().get(), waiting);
-        metrics.beliefs(
+        metrics.recordRequests(state.active().get(), waiting);
+        metrics.recordState(
                 view.configuration().map(known -> known.version()).orElse(-1L),
                 view.loggedAgeMillis(time.monotonicMillis()),
                 state.backends().all().size(),
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyDependencies.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyDependencies.java
@@ -18,7 +18,7 @@
  * @param backendTopic The topic with the entries of backend servers.
  * @param backends Reads entries of backend servers.
  * @param duties Takes what one host does for all.
- * @param dialect Translates headers.
+ * @param codec Translates headers.
  */
 public record ProxyDependencies(
         SharedLog log,
@@ -29,4 +29,4 @@
         String backendTopic,
         RecordReader<Backend> backends,
         ControlPlaneClient duties,
-        HeaderCodec dialect) {}
+        HeaderCodec codec) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendAttempt.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendAttempt.java
@@ -14,300 +14,220 @@
 /**
  * One attempt at a backend server.
  *
- * <p>Invariants: the listener hears of exactly one end, and nothing after it or after the attempt was abandoned; an answer
- * that names another request, or a success without a signature, counts as broken. Used by one thread.
+ * <p>Invariants: the listener is notified of exactly one outcome, and of nothing after it or after the attempt was
+ * abandoned. A response that names another request, or a successful one without a signature, counts as broken. Not
+ * thread-safe.
  */
 final class BackendAttempt {
 
-    /** The status from which an answer is a failure of the backend server. */
-    private static final int SERVER_ERROR = 500;
+    /** The status from which a response is a server error. */
+    private static final int SERVER_ERROR_STATUS = 500;
 
-    /** The status of a success. */
-    private static final int OK = 200;
+    private static final int SUCCESS_STATUS = 200;
 
-    /** The first status that is no success. */
-    private static final int NOT_SUCCESS = 300;
+    private static final int REDIRECT_STATUS = 300;
 
-    /** The longest whole answer that is kept in memory, in bytes. */
-    private static final int LONGEST_WHOLE_BYTES = 8 << 20;
+    /** The maximum size of a response body that is buffered. */
+    private static final int MAXIMUM_BUFFERED_BYTES = 8 << 20;
 
-    /** The dialect. */
-    private final HeaderCodec dialect;
+    private final HeaderCodec codec;
 
-    /** The request. */
     private final ProxyRequest request;
 
-    /** The backend server. */
     private final Backend backend;
 
-    /** Hears what comes of the attempt. */
     private final Listener listener;
 
-    /** Cuts the stream after whole events. */
     private final EventSplitter splitter = new EventSplitter();
 
-    /** The request to the backend server, once there is a connection. */
-    private HttpClientRequest sent;
+    /** Null until a connection is established. */
+    private HttpClientRequest backendRequest;
 
-    /** The answer, once its head has arrived. */
+    /** Null until the response headers have arrived. */
     private HttpClientResponse response;
 
-    /** Whether the attempt has ended. */
-    private boolean over;
+    private boolean ended;
 
-    /**
-     * Creates an attempt.
-     *
-     * @param dialect The dialect.
-     * @param request The request.
-     * @param backend The backend server.
-     * @param listener Hears what comes of the attempt.
-     */
-    BackendAttempt(HeaderCodec dialect, ProxyRequest request, Backend backend, Listener listener) {
-        this.dialect = dialect;
+    BackendAttempt(HeaderCodec codec, ProxyRequest request, Backend backend, Listener listener) {
+        this.codec = codec;
         this.request = request;
         this.backend = backend;
         this.listener = listener;
     }
 
     /**
-     * Starts the attempt.
+     * Opens a connection and sends the request.
      *
-     * @param client The client.
-     * @param remainingMillis The time left in milliseconds.
-     * @param lastEventId The event after which a stream shall go on.
+     * @param remainingMillis The time until the deadline in milliseconds.
+     * @param lastEventId The event after which a stream is to be resumed, if any.
      */
     void start(BackendClient client, long remainingMillis, Optional<String> lastEventId) {
-        BackendHeaders head = new BackendHeaders(
+        BackendHeaders proxyHeaders = new BackendHeaders(
                 request.id(), backend.id(), remainingMillis, request.customer(), request.urgency(), lastEventId);
         client.open(request, backend)
-                .onSuccess(opened -> send(opened, head))
+                .onSuccess(opened -> send(opened, proxyHeaders))
                 .onFailure(failure -> fail(AttemptOutcome.NOT_CONNECTED, String.valueOf(failure.getMessage())));
     }
 
-    /**
-     * Returns the backend server.
-     *
-     * @return The backend server.
-     */
     Backend backend() {
         return backend;
     }
 
-    /** Ends the attempt without telling the listener; the connection is closed, which ends the work there. */
+    /**
+     * Ends the attempt without notifying the listener. The connection is closed, which cancels the request at the
+     * backend server.
+     */
     void abandon() {
-        over = true;
-        if (sent != null) {
-            sent.reset();
+        ended = true;
+        if (backendRequest != null) {
+            backendRequest.reset();
         }
     }
 
-    /** Stops reading the answer. */
     void pause() {
         response.pause();
     }
 
-    /** Goes on reading the answer. */
     void resume() {
         response.resume();
     }
 
-    /**
-     * Sends the request.
-     *
-     * @param opened The request to the backend server.
-     * @param head What the proxy says.
-     */
-    private void send(HttpClientRequest opened, BackendHeaders head) {
-        sent = opened;
-        if (over) {
+    private void send(HttpClientRequest opened, BackendHeaders proxyHeaders) {
+        backendRequest = opened;
+        if (ended) {
             opened.reset();
             return;
         }
-        listener.sent();
-        dialect.writeBackend(request.headers(), head, opened.headers());
-        opened.exceptionHandler(failure -> broken(String.valueOf(failure.getMessage())));
-        (request.body().length() == 0 && !hasFraming() ? opened.send() : opened.send(request.body()))
-                .onSuccess(this::readHead)
-                .onFailure(failure -> broken(String.valueOf(failure.getMessage())));
+        listener.onSent();
+        codec.encodeBackend(request.headers(), proxyHeaders, opened.headers());
+        opened.exceptionHandler(failure -> failBroken(String.valueOf(failure.getMessage())));
+        (request.body().length() == 0 && !declaresBody() ? opened.send() : opened.send(request.body()))
+                .onSuccess(this::readHeaders)
+                .onFailure(failure -> failBroken(String.valueOf(failure.getMessage())));
     }
 
-    /**
-     * Tells whether the caller declared a body, also an empty one.
-     *
-     * @return Whether a body was declared.
-     */
-    private boolean hasFraming() {
+    /** Tells whether the caller declared a body, even an empty one. */
+    private boolean declaresBody() {
         return request.headers().contains("Content-Length") || request.headers().contains("Transfer-Encoding");
     }
 
-    /**
-     * Reads the head of the answer.
-     *
-     * @param answer The answer.
-     */
-    private void readHead(HttpClientResponse answer) {
-        if (over) {
+    private void readHeaders(HttpClientResponse backendResponse) {
+        if (ended) {
             return;
         }
-        response = answer;
-        answer.exceptionHandler(failure -> broken(String.valueOf(failure.getMessage())));
-        BackendResponseHeaders head = dialect.readAnswer(answer.headers());
-        if (head.requestId().filter(id -> !id.equals(request.id())).isPresent()) {
-            broken("answer names another request");
+        response = backendResponse;
+        backendResponse.exceptionHandler(failure -> failBroken(String.valueOf(failure.getMessage())));
+        BackendResponseHeaders responseHeaders = codec.decodeResponse(backendResponse.headers());
+        if (responseHeaders.requestId().filter(id -> !id.equals(request.id())).isPresent()) {
+            failBroken("response names another request");
             return;
         }
-        if (head.notRun()) {
-            fail(AttemptOutcome.NOT_RUN, "status " + answer.statusCode());
+        if (responseHeaders.notRun()) {
+            fail(AttemptOutcome.NOT_RUN, "status " + backendResponse.statusCode());
             return;
         }
-        boolean success = answer.statusCode() >= OK && answer.statusCode() < NOT_SUCCESS;
-        if (success && !head.signature()) {
-            broken("success without a signature");
+        boolean success =
+                backendResponse.statusCode() >= SUCCESS_STATUS && backendResponse.statusCode() < REDIRECT_STATUS;
+        if (success && !responseHeaders.signature()) {
+            failBroken("success without a signature");
             return;
         }
         if (success && request.route().kind().streams()) {
-            readStream(answer);
+            readStream(backendResponse);
         } else {
-            readWhole(answer);
+            readBuffered(backendResponse);
         }
     }
 
-    /**
-     * Reads a whole answer.
-     *
-     * @param answer The answer.
-     */
-    private void readWhole(HttpClientResponse answer) {
+    private void readBuffered(HttpClientResponse backendResponse) {
         Buffer body = Buffer.buffer();
-        answer.handler(bytes -> {
-            if (body.length() + bytes.length() > LONGEST_WHOLE_BYTES) {
-                broken("answer is too long");
+        backendResponse.handler(bytes -> {
+            if (body.length() + bytes.length() > MAXIMUM_BUFFERED_BYTES) {
+                failBroken("response exceeds the buffer limit");
                 return;
             }
             body.appendBuffer(bytes);
         });
-        answer.endHandler(end -> {
-            if (over) {
+        backendResponse.endHandler(end -> {
+            if (ended) {
                 return;
             }
-            over = true;
-            listener.whole(new WholeAnswer(answer.statusCode(), answer.headers(), body));
+            ended = true;
+            listener.onResponse(new BufferedResponse(backendResponse.statusCode(), backendResponse.headers(), body));
         });
     }
 
-    /**
-     * Reads a stream of events.
-     *
-     * @param answer The answer.
-     */
-    private void readStream(HttpClientResponse answer) {
-        answer.handler(bytes -> {
-            if (over) {
+    private void readStream(HttpClientResponse backendResponse) {
+        backendResponse.handler(bytes -> {
+            if (ended) {
                 return;
             }
-            Buffer whole = splitter.take(bytes);
-            if (whole.length() > 0) {
-                listener.events(answer.statusCode(), answer.headers(), whole, splitter.lastId());
+            Buffer events = splitter.take(bytes);
+            if (events.length() > 0) {
+                listener.onEvents(backendResponse.statusCode(), backendResponse.headers(), events, splitter.lastId());
             }
         });
-        answer.endHandler(end -> {
+        backendResponse.endHandler(end -> {
             if (splitter.midEvent()) {
-                broken("stream ended within an event");
+                failBroken("stream ended within an event");
                 return;
             }
-            if (!over) {
-                over = true;
-                listener.streamEnd(answer.statusCode(), answer.headers());
+            if (!ended) {
+                ended = true;
+                listener.onStreamEnd(backendResponse.statusCode(), backendResponse.headers());
             }
         });
     }
 
     /**
-     * Ends the attempt since the connection broke or the answer can't be used; the connection is closed before the listener
-     * may go elsewhere.
-     *
-     * @param detail What happened.
+     * Ends the attempt because the connection broke or the response is unusable. The connection is closed before the
+     * listener can start another attempt.
      */
-    private void broken(String detail) {
-        if (over) {
+    private void failBroken(String detail) {
+        if (ended) {
             return;
         }
-        over = true;
-        sent.reset();
-        listener.failed(AttemptOutcome.BROKEN, detail);
+        ended = true;
+        backendRequest.reset();
+        listener.onFailure(AttemptOutcome.BROKEN, detail);
     }
 
-    /**
-     * Ends the attempt with a failure.
-     *
-     * @param outcome How it ended.
-     * @param detail What happened.
-     */
     private void fail(AttemptOutcome outcome, String detail) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
-        listener.failed(outcome, detail);
+        ended = true;
+        listener.onFailure(outcome, detail);
     }
 
-    /** Hears what comes of an attempt. */
+    /** Receives the progress and the outcome of an attempt. */
     interface Listener {
 
-        /** Hears that the request is being sent on a connection, after which it may run. */
-        void sent();
+        /** Called when the request is about to be sent on an open connection; from then on it may run. */
+        void onSent();
 
         /**
-         * Hears that whole events of a stream have arrived.
+         * Called when complete events of a stream have arrived.
          *
-         * @param status The status of the answer.
-         * @param headers The headers of the answer.
-         * @param events The events.
-         * @param lastId The identifier of the last event.
+         * @param lastEventId The identifier of the last event that has one.
          */
-        void events(int status, MultiMap headers, Buffer events, Optional<String> lastId);
+        void onEvents(int status, MultiMap headers, Buffer events, Optional<String> lastEventId);
 
-        /**
-         * Hears that a stream has come to its end.
-         *
-         * @param status The status of the answer.
-         * @param headers The headers of the answer.
-         */
-        void streamEnd(int status, MultiMap headers);
+        /** Called when a stream has ended completely. */
+        void onStreamEnd(int status, MultiMap headers);
 
-        /**
-         * Hears of a whole answer.
-         *
-         * @param answer The answer.
-         */
-        void whole(WholeAnswer answer);
+        /** Called when a response that is no stream has arrived completely. */
+        void onResponse(BufferedResponse response);
 
-        /**
-         * Hears that the attempt failed.
-         *
-         * @param outcome How it ended.
-         * @param detail What happened.
-         */
-        void failed(AttemptOutcome outcome, String detail);
+        /** Called when the attempt failed. */
+        void onFailure(AttemptOutcome outcome, String detail);
     }
 
-    /**
-     * A whole answer.
-     *
-     * @param status The status.
-     * @param headers The headers.
-     * @param body The body.
-     */
-    record WholeAnswer(int status, MultiMap headers, Buffer body) {
+    /** A complete response. */
+    record BufferedResponse(int status, MultiMap headers, Buffer body) {
 
-        /**
-         * Tells whether the backend server failed.
-         *
-         * @return Whether it failed.
-         */
         boolean isServerError() {
-            return status >= SERVER_ERROR;
+            return status >= SERVER_ERROR_STATUS;
         }
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendClient.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendClient.java
@@ -14,46 +14,38 @@
 /**
  * Opens connections to backend servers.
  *
- * <p>Invariants: a connection carries one exchange at a time; a request that must run at most once gets a new connection,
- * since one that was idle may be closed by the other side while the request is under way. Safe for use by several threads.
+ * <p>Invariants: a connection carries one exchange at a time. A request that must run at most once gets a new
+ * connection, since an idle one may be closed by the backend server while the request is on its way. Thread-safe.
  */
 public final class BackendClient {
 
-    /** The time after which a connect is given up, in milliseconds. */
-    private static final int CONNECT_MILLIS = 400;
+    private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
-    /** The time after which an idle connection is closed, in seconds. */
-    private static final int IDLE_SECONDS = 4;
+    /** The time after which an idle connection is closed. */
+    private static final int KEEP_ALIVE_SECONDS = 4;
 
-    /** The connections to one backend server. */
-    private static final int CONNECTIONS = 120;
+    /** The maximum number of connections to one backend server. */
+    private static final int MAXIMUM_CONNECTIONS = 120;
 
-    /** The longest head of an answer in bytes. */
-    private static final int HEAD_BYTES = 32_768;
+    /** The maximum size of all response headers. */
+    private static final int MAXIMUM_HEADER_BYTES = 32_768;
 
-    /** The client that keeps connections. */
-    private final HttpClient keeping;
+    /** Reuses connections. */
+    private final HttpClient pooled;
 
-    /** The client that opens a connection for each request. */
-    private final HttpClient single;
+    /** Opens a connection for each request. */
+    private final HttpClient unpooled;
 
-    /**
-     * Creates a client.
-     *
-     * @param vertx The Vert.x instance.
-     */
     public BackendClient(Vertx vertx) {
-        PoolOptions pool = new PoolOptions().setHttp1MaxSize(CONNECTIONS);
-        keeping = vertx.createHttpClient(options().setKeepAliveTimeout(IDLE_SECONDS), pool);
-        single = vertx.createHttpClient(options().setKeepAlive(false), new PoolOptions(pool));
+        PoolOptions pool = new PoolOptions().setHttp1MaxSize(MAXIMUM_CONNECTIONS);
+        pooled = vertx.createHttpClient(options().setKeepAliveTimeout(KEEP_ALIVE_SECONDS), pool);
+        unpooled = vertx.createHttpClient(options().setKeepAlive(false), new PoolOptions(pool));
     }
 
     /**
-     * Opens a request.
+     * Opens a connection for a request.
      *
-     * @param request The request of the caller.
-     * @param backend The backend server.
-     * @return The request, nothing of which is sent yet, or a failure after which it is certain that nothing was sent.
+     * @return The request to the backend server, of which nothing is sent yet; if this fails, nothing was sent.
      */
     Future<HttpClientRequest> open(ProxyRequest request, Backend backend) {
         RequestOptions options = new RequestOptions()
@@ -65,20 +57,15 @@
                 .setURI(request.uri())
                 .putHeader(HttpHeaders.HOST, request.host());
         boolean reuse = request.route().kind().mayRetry();
-        return (reuse ? keeping : single).request(options);
+        return (reuse ? pooled : unpooled).request(options);
     }
 
-    /**
-     * Returns the options of both clients.
-     *
-     * @return The options.
-     */
     private static HttpClientOptions options() {
         return new HttpClientOptions()
-                .setConnectTimeout(CONNECT_MILLIS)
+                .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
                 .setTcpNoDelay(true)
                 .setPipelining(false)
                 .setDecompressionSupported(false)
-                .setMaxHeaderSize(HEAD_BYTES);
+                .setMaxHeaderSize(MAXIMUM_HEADER_BYTES);
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
@@ -14,194 +14,165 @@
 import org.cranberrygauge.proxy.exchange.HeaderCodec.CallerHeaders;
 
 /**
- * Takes requests of callers: checks their framing, lets the gate decide, reads the body and starts the exchange.
- *
- * <p>Used by one thread.
+ * Handles the requests of callers: checks their framing, applies admission, reads the body and starts the exchange. Not
+ * thread-safe.
  */
 public final class CallerHandler implements Handler<HttpServerRequest> {
 
-    /** The header with the length of the body. */
     private static final String CONTENT_LENGTH = "Content-Length";
 
-    /** The header with the framing of the body. */
     private static final String TRANSFER_ENCODING = "Transfer-Encoding";
 
-    /** The only framing that is understood besides a length. */
+    /** The only supported transfer encoding. */
     private static final String CHUNKED = "chunked";
 
-    /** The name of requests without an identifier, and of routes that don't exist. */
-    private static final String NONE = "-";
+    /** The logged value for a missing request identifier, route or customer. */
+    private static final String ABSENT = "-";
 
-    /** The pause between looks whether a request that came early can be taken, in milliseconds. */
-    private static final long LOOK_MILLIS = 10;
+    /** The interval at which a request that arrived during startup is checked again. */
+    private static final long RECHECK_MILLIS = 10;
 
-    /** The tools. */
     private final ExchangeContext context;
 
-    /** Decides whether a request waits since the process has just started. */
-    private final StartupGate hold = new StartupGate();
+    private final StartupGate startupGate = new StartupGate();
 
-    /** Decides which requests are taken. */
-    private final RequestAdmission gate;
+    private final RequestAdmission admission;
 
-    /**
-     * Creates a handler.
-     *
-     * @param context The tools.
-     * @param gate Decides which requests are taken.
-     */
-    public CallerHandler(ExchangeContext context, RequestAdmission gate) {
+    public CallerHandler(ExchangeContext context, RequestAdmission admission) {
         this.context = context;
-        this.gate = gate;
+        this.admission = admission;
     }
 
     @Override
     public void handle(HttpServerRequest request) {
         long now = context.time().monotonicMillis();
-        if (hold.holds(now, now, context.state())) {
+        if (startupGate.mustWait(now, now, context.state())) {
             request.pause();
-            holdOn(request, now);
+            waitForState(request, now);
             return;
         }
-        take(request, now);
+        process(request, now);
     }
 
-    /**
-     * Takes a request up once the process knows enough, or has waited long enough.
-     *
-     * @param request The request, whose body is paused.
-     * @param arrivedMillis The monotonic time at which it arrived.
-     */
-    private void holdOn(HttpServerRequest request, long arrivedMillis) {
+    /** Processes a request once the state is known or its maximum wait is over; its body is paused until then. */
+    private void waitForState(HttpServerRequest request, long arrivedMillis) {
         if (request.response().closed()) {
             return;
         }
-        if (hold.holds(context.time().monotonicMillis(), arrivedMillis, context.state())) {
-            context.vertx().setTimer(LOOK_MILLIS, fired -> holdOn(request, arrivedMillis));
+        if (startupGate.mustWait(context.time().monotonicMillis(), arrivedMillis, context.state())) {
+            context.vertx().setTimer(RECHECK_MILLIS, fired -> waitForState(request, arrivedMillis));
             return;
         }
-        take(request, arrivedMillis);
+        process(request, arrivedMillis);
         request.resume();
     }
 
-    /**
-     * Takes a request.
-     *
-     * @param request The request.
-     * @param now The monotonic time at which it arrived.
-     */
-    private void take(HttpServerRequest request, long now) {
-        CallerReply reply = new CallerReply(request, context.state()::draining);
-        CallerHeaders head = context.dialect().readCaller(request.headers());
+    private void process(HttpServerRequest request, long now) {
+        CallerResponse response = new CallerResponse(request, context.state()::draining);
+        CallerHeaders callerHeaders = context.codec().decodeCaller(request.headers());
         ConfigurationView view = context.state().configuration();
         String host = request.getHeader("Host");
-        if (isAmbiguous(request.headers()) || host == null || head.requestId().isEmpty()) {
-            reply.closeAfterAnswer();
-            reject(now, request, reply, head, RejectReason.BAD_REQUEST);
+        if (hasAmbiguousFraming(request.headers())
+                || host == null
+                || callerHeaders.requestId().isEmpty()) {
+            response.closeAfterResponse();
+            reject(now, request, response, callerHeaders, RejectReason.BAD_REQUEST);
             return;
         }
-        if (context.state().closing(now)) {
-            reject(now, request, reply, head, RejectReason.DRAINING);
+        if (context.state().isClosing(now)) {
+            reject(now, request, response, callerHeaders, RejectReason.DRAINING);
             return;
         }
-        Decision decision = gate.decide(now, context.time().wallMillis(), view, host, path(request), head.key());
+        Decision decision =
+                admission.decide(now, context.time().wallMillis(), view, host, path(request), callerHeaders.key());
         if (decision.rejection().isPresent()) {
-            reject(now, request, reply, head, decision.rejection().get());
+            reject(now, request, response, callerHeaders, decision.rejection().get());
             return;
         }
         Route route = decision.route().orElseThrow();
         Pool pool = view.configuration()
                 .orElseThrow()
                 .pools()
-                .get(route.poolFor(head.requestId().get().hashCode()));
+                .get(route.poolFor(callerHeaders.requestId().get().hashCode()));
         if (pool == null) {
-            reject(now, request, reply, head, RejectReason.NO_BACKEND);
+            reject(now, request, response, callerHeaders, RejectReason.NO_BACKEND);
             return;
         }
-        long limit = view.configuration().orElseThrow().limits().bodyBytes();
-        long wait = Math.min(route.timeoutMillis(), head.remainingMillis().orElse(Long.MAX_VALUE));
-        readBody(request, limit, body -> {
+        long maximumBytes = view.configuration().orElseThrow().limits().bodyBytes();
+        long timeoutMillis =
+                Math.min(route.timeoutMillis(), callerHeaders.remainingMillis().orElse(Long.MAX_VALUE));
+        readBody(request, maximumBytes, body -> {
             if (body.isEmpty()) {
-                reply.closeAfterAnswer();
-                reject(now, request, reply, head, RejectReason.BODY_TOO_LONG);
+                response.closeAfterResponse();
+                reject(now, request, response, callerHeaders, RejectReason.BODY_TOO_LONG);
                 return;
             }
-            ProxyRequest taken = new ProxyRequest(
-                    head.requestId().get(),
+            ProxyRequest admitted = new ProxyRequest(
+                    callerHeaders.requestId().get(),
                     request.method(),
                     request.uri(),
                     host,
                     request.headers(),
                     body.get(),
-                    head,
+                    callerHeaders,
                     route,
                     pool,
                     decision.customer(),
                     decision.urgency(),
                     now,
-                    now + wait);
-            new Exchange(context, taken, reply).start();
+                    now + timeoutMillis);
+            new Exchange(context, admitted, response).start();
         });
     }
 
-    /**
-     * Answers what can't be read as a request; what follows on the connection can't be trusted.
-     *
-     * @param request What was read.
-     */
+    /** Rejects a malformed request. The connection is closed, since the start of the next request on it is unknown. */
     void handleInvalid(HttpServerRequest request) {
-        CallerReply reply = new CallerReply(request, context.state()::draining);
-        reply.closeAfterAnswer();
-        CallerHeaders head = context.dialect().readCaller(request.headers());
-        reject(context.time().monotonicMillis(), request, reply, head, RejectReason.BAD_REQUEST);
+        CallerResponse response = new CallerResponse(request, context.state()::draining);
+        response.closeAfterResponse();
+        CallerHeaders callerHeaders = context.codec().decodeCaller(request.headers());
+        reject(context.time().monotonicMillis(), request, response, callerHeaders, RejectReason.BAD_REQUEST);
     }
 
     /**
-     * Reads the body up to a limit.
+     * Buffers the body up to a maximum size.
      *
-     * @param request The request.
-     * @param limit The limit in bytes.
-     * @param done Takes the body, or nothing if it is too long.
+     * @param done Receives the body, or empty if it exceeds the maximum.
      */
-    private static void readBody(HttpServerRequest request, long limit, Handler<Optional<Buffer>> done) {
+    private static void readBody(HttpServerRequest request, long maximumBytes, Handler<Optional<Buffer>> done) {
         Buffer body = Buffer.buffer();
-        boolean[] over = new boolean[1];
+        boolean[] exceeded = new boolean[1];
         request.handler(bytes -> {
-            if (over[0]) {
+            if (exceeded[0]) {
                 return;
             }
-            if (body.length() + (long) bytes.length() > limit) {
-                over[0] = true;
+            if (body.length() + (long) bytes.length() > maximumBytes) {
+                exceeded[0] = true;
                 done.handle(Optional.empty());
                 return;
             }
             body.appendBuffer(bytes);
         });
         request.endHandler(end -> {
-            if (!over[0]) {
+            if (!exceeded[0]) {
                 done.handle(Optional.of(body));
             }
         });
     }
 
-    /**
-     * Gives an answer of the proxy's own before any exchange.
-     *
-     * @param now The present monotonic time in milliseconds.
-     * @param request The request.
-     * @param reply The answer.
-     * @param head What the caller says.
-     * @param reason The reason.
-     */
+    /** Rejects a request before the exchange starts. */
     private void reject(
-            long now, HttpServerRequest request, CallerReply reply, CallerHeaders head, RejectReason reason) {
+            long now,
+            HttpServerRequest request,
+            CallerResponse response,
+            CallerHeaders callerHeaders,
+            RejectReason reason) {
         ConfigurationView view = context.state().configuration();
         request.exceptionHandler(failure -> {});
-        reply.reject(reason);
-        context.metrics().ended(NONE, NONE, reason.name());
+        response.reject(reason);
+        context.metrics().recordEnd(ABSENT, ABSENT, reason.name());
         context.events()
                 .emit(new ExchangeEvents.RequestRejected(
-                        head.requestId().orElse(NONE),
+                        callerHeaders.requestId().orElse(ABSENT),
                         reason.name(),
                         reason.status(),
                         view.configuration().map(known -> known.version()).orElse(-1L),
@@ -209,12 +180,10 @@
     }
 
     /**
-     * Tells whether the end of the body is ambiguous, so that a part of it might be read as another request.
-     *
-     * @param headers The headers.
-     * @return Whether it is ambiguous.
+     * Tells whether the end of the body is ambiguous, so that a part of it could be read as another request (request
+     * smuggling).
      */
-    private static boolean isAmbiguous(MultiMap headers) {
+    private static boolean hasAmbiguousFraming(MultiMap headers) {
         if (!headers.contains(TRANSFER_ENCODING)) {
             return headers.getAll(CONTENT_LENGTH).size() > 1;
         }
@@ -223,12 +192,7 @@
                 || !CHUNKED.equalsIgnoreCase(headers.get(TRANSFER_ENCODING).trim());
     }
 
-    /**
-     * Returns the path of a request.
-     *
-     * @param request The request.
-     * @return The path without its query.
-     */
+    /** Returns the path without the query. */
     private static String path(HttpServerRequest request) {
         String uri = request.uri();
         int query = uri.indexOf('?');
--- /dev/null
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerResponse.java
@@ -0,0 +1,114 @@
+package org.cranberrygauge.proxy.exchange;
+
+import io.vertx.core.Handler;
+import io.vertx.core.MultiMap;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpHeaders;
+import io.vertx.core.http.HttpServerRequest;
+import io.vertx.core.http.HttpServerResponse;
+import java.util.Locale;
+import java.util.function.BooleanSupplier;
+import org.cranberrygauge.proxy.admission.RejectReason;
+
+/**
+ * Writes the response to a caller.
+ *
+ * <p>Invariants: exactly one response is written; a stream that breaks off is never terminated properly; while the host
+ * drains, the connection is closed after the response. Not thread-safe.
+ */
+public final class CallerResponse {
+
+    private static final double MILLIS_PER_SECOND = 1_000;
+
+    private final HttpServerRequest request;
+
+    private final HttpServerResponse response;
+
+    private final BooleanSupplier draining;
+
+    private boolean closeAfter;
+
+    public CallerResponse(HttpServerRequest request, BooleanSupplier draining) {
+        this.request = request;
+        this.response = request.response();
+        this.draining = draining;
+    }
+
+    /** Sets the callback for a connection that the caller closes before the response is complete. */
+    public void onDisconnect(Runnable callback) {
+        response.closeHandler(closed -> callback.run());
+        response.exceptionHandler(failure -> callback.run());
+    }
+
+    /** Closes the connection after the response, since the start of the next request on it is unknown. */
+    public void closeAfterResponse() {
+        closeAfter = true;
+    }
+
+    /** Writes the proxy's own response for a rejection. */
+    public void reject(RejectReason reason) {
+        response.setStatusCode(reason.status());
+        reason.retryAfterMillis()
+                .ifPresent(millis -> response.putHeader(
+                        HttpHeaders.RETRY_AFTER, String.format(Locale.ROOT, "%.2f", millis / MILLIS_PER_SECOND)));
+        end(Buffer.buffer());
+    }
+
+    /** Writes a complete response of a backend server. */
+    public void forward(int status, MultiMap headers, Buffer body) {
+        response.setStatusCode(status);
+        response.headers().addAll(headers);
+        end(body);
+    }
+
+    /** Writes the status and headers of a stream. */
+    public void startStream(int status, MultiMap headers) {
+        response.setStatusCode(status);
+        response.headers().addAll(headers);
+        response.setChunked(true);
+        announceClose();
+    }
+
+    /** Writes events of a stream. */
+    public void write(Buffer events) {
+        response.write(events);
+    }
+
+    /** Ends a stream that is complete. */
+    public void endStream() {
+        response.end().onComplete(written -> closeIfAnnounced());
+    }
+
+    /** Closes the connection before the end of the response. */
+    public void abort() {
+        request.connection().close();
+    }
+
+    /** Tells whether the write queue is full because the caller reads more slowly than the backend server writes. */
+    public boolean isFull() {
+        return response.writeQueueFull();
+    }
+
+    /** Sets the callback for a write queue that accepts data again. */
+    public void onDrained(Handler<Void> callback) {
+        response.drainHandler(callback);
+    }
+
+    private void end(Buffer body) {
+        announceClose();
+        response.end(body).onComplete(written -> closeIfAnnounced());
+    }
+
+    private void announceClose() {
+        closeAfter = closeAfter || draining.getAsBoolean();
+        if (closeAfter) {
+            response.putHeader(HttpHeaders.CONNECTION, HttpHeaders.CLOSE);
+        }
+    }
+
+    private void closeIfAnnounced() {
+        if (closeAfter) {
+            request.connection().close();
+        }
+    }
+}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -8,7 +8,7 @@
 import org.cranberrygauge.proxy.admission.RejectReason;
 import org.cranberrygauge.proxy.admission.WaitQueue.Entry;
 import org.cranberrygauge.proxy.backend.Backend;
-import org.cranberrygauge.proxy.exchange.BackendAttempt.WholeAnswer;
+import org.cranberrygauge.proxy.exchange.BackendAttempt.BufferedResponse;
 import org.cranberrygauge.proxy.retry.AttemptHistory;
 import org.cranberrygauge.proxy.retry.AttemptOutcome;
 import org.cranberrygauge.proxy.retry.NextStep;
@@ -18,140 +18,126 @@
 import org.cranberrygauge.proxy.routing.BackendLoad.Placement;
 
 /**
- * The life of one request, from its admission to its final answer.
+ * The lifecycle of one request, from admission to the final response.
  *
- * <p>Invariants: at most one attempt is in progress; exactly one final answer is given; it is given at the end of the
- * request's time at the latest; the attempt in progress ends with the caller. Used by one thread.
+ * <p>Invariants: at most one attempt is in progress; exactly one final response is given, at the deadline at the
+ * latest; the attempt in progress is cancelled when the caller disconnects. Not thread-safe.
  */
 final class Exchange implements BackendAttempt.Listener {
 
-    /** The tools. */
     private final ExchangeContext context;
 
-    /** The request. */
     private final ProxyRequest request;
 
-    /** The answer to the caller. */
-    private final CallerReply reply;
+    private final CallerResponse response;
 
-    /** Tells what becomes of the request. */
-    private final ExchangeRecorder report;
+    private final ExchangeRecorder recorder;
 
-    /** The incarnations of backend servers that were tried. */
+    /** The incarnations of the backend servers that were tried. */
     private final Set<String> tried = new HashSet<>();
 
-    /** What happened so far. */
     private AttemptHistory history = AttemptHistory.NONE;
 
-    /** The attempt in progress. */
     private BackendAttempt attempt;
 
-    /** What the attempt in progress adds to the load. */
+    /** The load that the attempt in progress causes. */
     private Placement placement;
 
-    /** The identifier of the last event that was passed on, or the caller's. */
+    /** The identifier of the last event that was forwarded, or at first the one that the caller sent. */
     private Optional<String> lastEventId;
 
-    /** The last whole answer that told of a failure. */
-    private Optional<WholeAnswer> failure = Optional.empty();
+    /** The last server error of a backend server. */
+    private Optional<BufferedResponse> serverError = Optional.empty();
 
     /** The monotonic time at which the attempt in progress started. */
-    private long attemptMillis;
+    private long attemptStartMillis;
 
-    /** Whether the request's bytes went out on the connection of the attempt in progress. */
+    /** Whether the attempt in progress has a connection, so that the request may run. */
     private boolean sent;
 
-    /** Whether the request waits for room. */
+    /** Whether the request is queued until an engine has capacity. */
     private boolean waiting;
 
-    /** Whether the final answer was given. */
-    private boolean over;
+    /** Whether the final response was given. */
+    private boolean ended;
 
-    /** The timer that ends the request. */
-    private long timer;
+    private long deadlineTimer;
 
-    /**
-     * Creates an exchange.
-     *
-     * @param context The tools.
-     * @param request The request.
-     * @param reply The answer to the caller.
-     */
-    Exchange(ExchangeContext context, ProxyRequest request, CallerReply reply) {
+    Exchange(ExchangeContext context, ProxyRequest request, CallerResponse response) {
         this.context = context;
         this.request = request;
-        this.reply = reply;
-        this.report = new ExchangeRecorder(context, request);
-        this.lastEventId = request.head().lastEventId();
+        this.response = response;
+        this.recorder = new ExchangeRecorder(context, request);
+        this.lastEventId = request.callerHeaders().lastEventId();
     }
 
-    /** Starts the exchange. */
+    /** Starts the first attempt, or rejects or queues the request. */
     void start() {
         long now = now();
         context.state().active().incrementAndGet();
-        reply.onGone(this::callerGone);
-        if (request.endMillis() <= now) {
+        response.onDisconnect(this::callerDisconnected);
+        if (request.deadlineMillis() <= now) {
             reject(RejectReason.EXPIRED);
             return;
         }
-        timer = context.vertx().setTimer(request.endMillis() - now, fired -> expire());
+        deadlineTimer = context.vertx().setTimer(request.deadlineMillis() - now, fired -> expire());
         if (context.crashes().isBlocked(request::fingerprint)) {
             reject(RejectReason.CRASHES_BACKENDS);
             return;
         }
         context.budgets().of(request.pool().name()).recordRequest(now);
-        if (!tryNext()) {
+        if (!attemptNext()) {
             reject(RejectReason.NO_BACKEND);
         }
     }
 
     @Override
-    public void sent() {
+    public void onSent() {
         sent = true;
     }
 
     @Override
-    public void events(int status, MultiMap headers, Buffer events, Optional<String> lastId) {
-        if (over) {
+    public void onEvents(int status, MultiMap headers, Buffer events, Optional<String> lastId) {
+        if (ended) {
             return;
         }
-        begin(status, headers);
+        beginStream(status, headers);
         lastEventId = lastId.or(() -> lastEventId);
-        reply.write(events);
-        if (reply.isFull()) {
+        response.write(events);
+        if (response.isFull()) {
             BackendAttempt reading = attempt;
             reading.pause();
-            reply.onDrained(drained -> reading.resume());
+            response.onDrained(drained -> reading.resume());
         }
     }
 
     @Override
-    public void streamEnd(int status, MultiMap headers) {
-        begin(status, headers);
+    public void onStreamEnd(int status, MultiMap headers) {
+        beginStream(status, headers);
         context.load(request.pool(), attempt.backend()).recordSuccess();
-        reply.endStream();
-        end("served", status);
+        response.endStream();
+        finish("served", status);
     }
 
     @Override
-    public void whole(WholeAnswer answer) {
-        report.began();
-        if (answer.isServerError()) {
-            failure = Optional.of(answer);
-            failed(AttemptOutcome.SERVER_ERROR, "status " + answer.status());
+    public void onResponse(BufferedResponse buffered) {
+        recorder.recordStart();
+        if (buffered.isServerError()) {
+            serverError = Optional.of(buffered);
+            onFailure(AttemptOutcome.SERVER_ERROR, "status " + buffered.status());
             return;
         }
         context.load(request.pool(), attempt.backend()).recordSuccess();
         if (history.streaming()) {
-            cut("resumed_with_status");
+            abort("resumed_with_status");
             return;
         }
-        report.first(now());
-        passOn(answer, "served");
+        recorder.recordFirstEvent(now());
+        forward(buffered, "served");
     }
 
     @Override
-    public void failed(AttemptOutcome reported, String detail) {
+    public void onFailure(AttemptOutcome reported, String detail) {
         AttemptOutcome outcome =
                 reported == AttemptOutcome.BROKEN && history.streaming() ? AttemptOutcome.STREAM_BROKEN : reported;
         long now = now();
@@ -159,72 +145,54 @@
         placement.end();
         recordFailure(backend, outcome, now);
         history = history.withOutcome(outcome);
-        long remaining = request.endMillis() - now;
+        long remaining = request.deadlineMillis() - now;
         NextStep next = RetryPolicy.next(request.route(), history, outcome, remaining);
-        boolean another = next == NextStep.TRY_ANOTHER && mayRetry(outcome, now);
-        if (next == NextStep.TRY_ANOTHER && !another) {
+        boolean retry = next == NextStep.TRY_ANOTHER && mayRetry(outcome, now);
+        if (next == NextStep.TRY_ANOTHER && !retry) {
             next = RetryPolicy.withoutRetry(history, outcome);
         }
-        report.attemptFailed(backend, outcome, detail, next, history, remaining, now - attemptMillis);
-        follow(next, outcome);
+        recorder.recordFailedAttempt(backend, outcome, detail, next, history, remaining, now - attemptStartMillis);
+        proceed(next, outcome);
     }
 
-    /**
-     * Takes the next step after a failed attempt.
-     *
-     * @param next The next step.
-     * @param outcome How the attempt ended.
-     */
-    private void follow(NextStep next, AttemptOutcome outcome) {
+    /** Performs the next step after a failed attempt. */
+    private void proceed(NextStep next, AttemptOutcome outcome) {
         if (next == NextStep.TRY_ANOTHER) {
-            if (tryNext()) {
+            if (attemptNext()) {
                 return;
             }
-            follow(RetryPolicy.withoutRetry(history, outcome), outcome);
+            proceed(RetryPolicy.withoutRetry(history, outcome), outcome);
             return;
         }
         switch (next) {
             case REFUSE ->
                 reject(outcome == AttemptOutcome.NOT_RUN ? RejectReason.BACKENDS_FULL : RejectReason.NO_BACKEND);
-            case PASS_ON -> passOn(failure.orElseThrow(), "server_error");
-            case CUT -> cut("stream_broken");
-            default -> passOnOrReport();
+            case PASS_ON -> forward(serverError.orElseThrow(), "server_error");
+            case CUT -> abort("stream_broken");
+            default -> forwardOrReject();
         }
     }
 
-    /** Passes on an earlier failure of a backend server, or says that the request may have run. */
-    private void passOnOrReport() {
-        if (failure.isPresent()) {
-            passOn(failure.get(), "server_error");
+    /** Forwards an earlier server error, or reports that the request may have run. */
+    private void forwardOrReject() {
+        if (serverError.isPresent()) {
+            forward(serverError.get(), "server_error");
         } else {
             reject(RejectReason.BACKEND_BROKE);
         }
     }
 
-    /**
-     * Notes a failed attempt.
-     *
-     * @param backend The backend server.
-     * @param outcome How the attempt ended.
-     * @param now The present monotonic time in milliseconds.
-     */
     private void recordFailure(Backend backend, AttemptOutcome outcome, long now) {
         context.load(request.pool(), backend).recordFailure(now, outcome != AttemptOutcome.NOT_CONNECTED);
         if (outcome == AttemptOutcome.BROKEN && !request.route().kind().streams()) {
-            report.began();
+            recorder.recordStart();
         }
         if (outcome == AttemptOutcome.BROKEN || outcome == AttemptOutcome.STREAM_BROKEN) {
             context.crashes().record(now, request.fingerprint());
         }
     }
 
-    /**
-     * Asks the budget for another attempt.
-     *
-     * @param outcome How the last attempt ended.
-     * @param now The present monotonic time in milliseconds.
-     * @return Whether another attempt is allowed.
-     */
+    /** Checks the crash tracker and the retry budget for another attempt. */
     private boolean mayRetry(AttemptOutcome outcome, long now) {
         if (outcome == AttemptOutcome.NOT_CONNECTED) {
             return true;
@@ -238,46 +206,43 @@
     }
 
     /**
-     * Sends the request to the next backend server, or lets it wait for room.
+     * Sends the request to the next backend server, or queues it if that server is saturated.
      *
-     * @return Whether there is one.
+     * @return Whether there is another backend server.
      */
-    private boolean tryNext() {
+    private boolean attemptNext() {
         long now = now();
         Optional<Choice> choice = choose(now);
         if (choice.isEmpty()) {
             return false;
         }
         if (choice.get().saturated() && history.sent() == 0) {
-            joinLine(choice.get());
+            enqueue(choice.get());
             return true;
         }
         send(now, choice.get());
         return true;
     }
 
-    /**
-     * Lets the request wait for room.
-     *
-     * @param choice The best choice, which has no room.
-     */
-    private void joinLine(Choice choice) {
+    /** Queues the request until an engine has capacity. */
+    private void enqueue(Choice choice) {
         if (waiting) {
             return;
         }
         waiting = true;
         long tokens = context.load(request.pool(), choice.backend())
-                .uncachedTokens(request.head().prompt());
-        long readMillis = (long) (tokens / BackendChooser.PREFILL_TOKENS_PER_MILLI);
-        context.lines()
+                .uncachedTokens(request.callerHeaders().prompt());
+        long prefillMillis = (long) (tokens / BackendChooser.PREFILL_TOKENS_PER_MILLI);
+        context.queues()
                 .of(request.pool().name())
-                .add(new Entry<>(this, request.urgency(), request.onTimeMillis() - readMillis, request.giveUpMillis()));
+                .add(new Entry<>(
+                        this, request.urgency(), request.onTimeMillis() - prefillMillis, request.giveUpMillis()));
     }
 
     /**
-     * Sends the request if there is room for it by now.
+     * Sends a queued request if an engine has capacity by now.
      *
-     * @return Whether the request waits no more.
+     * @return Whether the request left the queue.
      */
     boolean tryDispatch() {
         Optional<Choice> choice = choose(now());
@@ -289,18 +254,12 @@
         return true;
     }
 
-    /** Refuses the request, which has waited for room and is out of the line. */
+    /** Rejects the request after it was removed from the queue as expired. */
     void expireInQueue() {
         waiting = false;
         reject(RejectReason.BACKENDS_FULL);
     }
 
-    /**
-     * Chooses a backend server.
-     *
-     * @param now The present monotonic time in milliseconds.
-     * @return The choice, or nothing if there is none left.
-     */
     private Optional<Choice> choose(long now) {
         return context.chooser()
                 .choose(
@@ -308,139 +267,113 @@
                         request.pool(),
                         context.state().backends().ready(request.pool().name()),
                         tried,
-                        request.head().prompt(),
+                        request.callerHeaders().prompt(),
                         context.state().peers());
     }
 
-    /**
-     * Sends the request to a backend server.
-     *
-     * @param now The present monotonic time in milliseconds.
-     * @param choice The backend server.
-     */
     private void send(long now, Choice choice) {
         Backend backend = choice.backend();
-        report.chosen(choice);
+        recorder.recordChoice(choice);
         tried.add(backend.incarnation());
-        placement = context.load(request.pool(), backend).place(request.head().prompt());
-        context.placements().record(now, backend.incarnation(), request.head().prompt());
-        attempt = new BackendAttempt(context.dialect(), request, backend, this);
-        attemptMillis = now;
+        placement = context.load(request.pool(), backend)
+                .place(request.callerHeaders().prompt());
+        context.placements()
+                .record(now, backend.incarnation(), request.callerHeaders().prompt());
+        attempt = new BackendAttempt(context.codec(), request, backend, this);
+        attemptStartMillis = now;
         sent = false;
-        attempt.start(context.client(), request.endMillis() - now, lastEventId);
+        attempt.start(context.client(), request.deadlineMillis() - now, lastEventId);
     }
 
-    /**
-     * Starts the answer of a stream with its first events.
-     *
-     * @param status The status.
-     * @param headers The headers of the backend server's answer.
-     */
-    private void begin(int status, MultiMap headers) {
+    /** Records the first events, and writes the headers of the response unless that is done. */
+    private void beginStream(int status, MultiMap headers) {
         placement.started();
-        report.began();
+        recorder.recordStart();
         if (history.streaming()) {
             return;
         }
         history = history.withStart();
-        report.first(now());
-        MultiMap passed = MultiMap.caseInsensitiveMultiMap();
-        context.dialect().copyAnswer(headers, passed);
-        reply.startStream(status, passed);
+        recorder.recordFirstEvent(now());
+        MultiMap forwarded = MultiMap.caseInsensitiveMultiMap();
+        context.codec().copyResponse(headers, forwarded);
+        response.startStream(status, forwarded);
     }
 
     /**
-     * Passes on a whole answer.
+     * Forwards a complete response.
      *
-     * @param answer The answer.
-     * @param outcome How the request ended.
+     * @param outcome The outcome of the request.
      */
-    private void passOn(WholeAnswer answer, String outcome) {
-        MultiMap passed = MultiMap.caseInsensitiveMultiMap();
-        context.dialect().copyAnswer(answer.headers(), passed);
-        reply.passOn(answer.status(), passed, answer.body());
-        end(outcome, answer.status());
+    private void forward(BufferedResponse buffered, String outcome) {
+        MultiMap forwarded = MultiMap.caseInsensitiveMultiMap();
+        context.codec().copyResponse(buffered.headers(), forwarded);
+        response.forward(buffered.status(), forwarded, buffered.body());
+        finish(outcome, buffered.status());
     }
 
-    /**
-     * Gives an answer of the proxy's own.
-     *
-     * @param reason The reason.
-     */
     private void reject(RejectReason reason) {
-        reply.reject(reason);
-        end(reason.name(), reason.status());
+        response.reject(reason);
+        finish(reason.name(), reason.status());
     }
 
-    /**
-     * Closes the connection to the caller within a stream.
-     *
-     * @param outcome How the request ended.
-     */
-    private void cut(String outcome) {
-        reply.cut();
-        end(outcome, 0);
+    /** Closes the connection to the caller within a stream. */
+    private void abort(String outcome) {
+        response.abort();
+        finish(outcome, 0);
     }
 
-    /** Ends the request at the end of its time. */
+    /** Ends the request at its deadline. */
     private void expire() {
-        if (over) {
+        if (ended) {
             return;
         }
         boolean mayHaveRun = history.mayHaveRun() || sent;
         abandonAttempt();
         if (history.streaming()) {
-            cut("timed_out_midway");
+            abort("timed_out_midway");
             return;
         }
         reject(mayHaveRun ? RejectReason.TIMED_OUT : RejectReason.EXPIRED);
     }
 
-    /** Ends the attempt in progress, whose request may have run if it was sent. */
+    /** Cancels the attempt in progress; if it was sent, its request may have run. */
     private void abandonAttempt() {
         if (attempt == null) {
             return;
         }
         attempt.abandon();
         if (sent && !request.route().kind().streams()) {
-            report.began();
+            recorder.recordStart();
         }
     }
 
-    /** Ends the request since its caller has left. */
-    private void callerGone() {
-        if (over) {
+    private void callerDisconnected() {
+        if (ended) {
             return;
         }
         abandonAttempt();
-        end("caller_left", 0);
+        finish("caller_left", 0);
     }
 
     /**
-     * Notes the end of the request.
+     * Releases the resources of the request and records its end.
      *
-     * @param outcome How it ended.
-     * @param status The status of the answer; 0 if the connection was closed.
+     * @param status The status of the response; 0 if the connection was closed.
      */
-    private void end(String outcome, int status) {
-        over = true;
-        context.vertx().cancelTimer(timer);
+    private void finish(String outcome, int status) {
+        ended = true;
+        context.vertx().cancelTimer(deadlineTimer);
         context.state().active().decrementAndGet();
         if (waiting) {
-            context.lines().of(request.pool().name()).remove(this);
+            context.queues().of(request.pool().name()).remove(this);
         }
         if (placement != null) {
             placement.end();
         }
         String backend = attempt == null ? "-" : attempt.backend().id();
-        report.ended(now(), outcome, status, backend, history.sent() + (sent ? 1 : 0));
+        recorder.recordEnd(now(), outcome, status, backend, history.sent() + (sent ? 1 : 0));
     }
 
-    /**
-     * Returns the present time.
-     *
-     * @return The monotonic time in milliseconds.
-     */
     private long now() {
         return context.time().monotonicMillis();
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
@@ -13,34 +13,23 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * What each exchange needs.
+ * What all exchanges use.
  *
- * @param vertx The Vert.x instance.
- * @param time The clocks.
- * @param state What the host believes.
- * @param client Opens connections to backend servers.
- * @param dialect Translates headers.
- * @param chooser Chooses backend servers.
- * @param loads The loads by this host's own requests.
- * @param placements Tells other hosts which engine reads which prompt part.
- * @param lines The requests that wait for room.
- * @param budgets The budgets of repeats.
- * @param crashes The requests that crash backend servers.
- * @param usage Counts the requests that began to run.
- * @param usageTime The clocks by which they are counted.
- * @param metrics The metrics.
- * @param events The event log.
+ * @param loads The load caused by this host's own requests.
+ * @param queues The requests that wait until an engine has capacity.
+ * @param usage Counts the requests that started running.
+ * @param usageTime The clocks by which usage is counted.
  */
 public record ExchangeContext(
         Vertx vertx,
         TimeSource time,
         ProxyState state,
         BackendClient client,
-        HeaderCodec dialect,
+        HeaderCodec codec,
         BackendChooser chooser,
         LoadTable loads,
         PlacementExchange placements,
-        PoolWaitQueues lines,
+        PoolWaitQueues queues,
         PoolRetryBudgets budgets,
         CrashTracker crashes,
         UsageCounter usage,
@@ -48,13 +37,6 @@
         ExchangeMetrics metrics,
         EventLog events) {
 
-    /**
-     * Returns the load of a backend server.
-     *
-     * @param pool Its pool.
-     * @param backend The backend server.
-     * @return The load.
-     */
     BackendLoad load(Pool pool, Backend backend) {
         return loads.of(backend.incarnation(), pool.memoryTokens());
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeEvents.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeEvents.java
@@ -5,17 +5,17 @@
 /** The events of requests. */
 public final class ExchangeEvents {
 
-    /** Prevents instances. */
     private ExchangeEvents() {}
 
     /**
-     * A request got an answer before it was sent to any backend server.
+     * A request was rejected before it was sent to any backend server.
      *
      * @param request The identifier of the request.
-     * @param reason The reason.
-     * @param status The status of the answer.
+     * @param reason The reason for the rejection.
+     * @param status The HTTP status of the response.
      * @param configuration The version of the configuration; -1 if none is known.
-     * @param configurationAgeMillis The age of its last confirmation in milliseconds.
+     * @param configurationAgeMillis The time since the configuration was last confirmed, in milliseconds; -1 if none is
+     *     known.
      */
     public record RequestRejected(
             String request, String reason, int status, long configuration, long configurationAgeMillis)
@@ -25,13 +25,13 @@
      * An attempt at a backend server failed.
      *
      * @param request The identifier of the request.
-     * @param backend The backend server.
-     * @param outcome How the attempt ended.
-     * @param detail What happened.
-     * @param next What follows.
-     * @param attempts The attempts that were sent so far.
-     * @param remainingMillis The time left in milliseconds.
-     * @param afterMillis The time since the attempt started in milliseconds.
+     * @param backend The identifier of the backend server.
+     * @param outcome The outcome of the attempt.
+     * @param detail The error message.
+     * @param next The next step for the request.
+     * @param attempts The attempts so far with an established connection.
+     * @param remainingMillis The time until the request's deadline in milliseconds.
+     * @param afterMillis The duration of the attempt in milliseconds.
      */
     public record AttemptFailed(
             String request,
@@ -45,19 +45,19 @@
             implements Event {}
 
     /**
-     * A request that was sent to a backend server has ended.
+     * A request that was admitted has ended.
      *
      * @param request The identifier of the request.
-     * @param route The route.
-     * @param customer The customer.
-     * @param urgency The urgency.
-     * @param outcome How it ended.
-     * @param status The status of the answer; 0 if the connection was closed.
-     * @param backend The last backend server.
-     * @param attempts The attempts that were sent.
-     * @param costMillis The predicted cost of the first choice in milliseconds.
-     * @param firstMillis The time to the first event or the whole answer in milliseconds; -1 if there was none.
-     * @param totalMillis The time to the end in milliseconds.
+     * @param route The name of the route.
+     * @param customer The customer, or a dash if there is none.
+     * @param urgency The urgency from 0, the most urgent, to 9.
+     * @param outcome The outcome of the request.
+     * @param status The HTTP status of the response; 0 if the connection was closed.
+     * @param backend The identifier of the last backend server, or a dash if there was none.
+     * @param attempts The attempts with an established connection.
+     * @param costMillis The predicted cost of the first choice in milliseconds; -1 if there was none.
+     * @param firstMillis The time to the first event or the complete response in milliseconds; -1 if there was none.
+     * @param totalMillis The duration of the request in milliseconds.
      */
     public record RequestEnded(
             String request,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeRecorder.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeRecorder.java
@@ -7,64 +7,48 @@
 import org.cranberrygauge.proxy.routing.BackendChooser.Choice;
 
 /**
- * Tells by events, metrics and usage counts what becomes of one request.
+ * Records the course of one request as events, metrics and usage counts.
  *
- * <p>Invariant: a request is counted at most once as one that began to run. Used by one thread.
+ * <p>Invariant: a request is counted at most once as started. Not thread-safe.
  */
 final class ExchangeRecorder {
 
     /** The label of requests without a customer. */
     private static final String NO_CUSTOMER = "-";
 
-    /** The tools. */
     private final ExchangeContext context;
 
-    /** The request. */
     private final ProxyRequest request;
 
     /** The predicted cost of the first choice in milliseconds; -1 before it. */
     private long costMillis = -1;
 
-    /** The time to the first event or whole answer in milliseconds; -1 before it. */
+    /** The time to the first event or the complete response in milliseconds; -1 before it. */
     private long firstMillis = -1;
 
-    /** Whether the request was counted as one that began to run. */
+    /** Whether the request was counted as started. */
     private boolean counted;
 
-    /**
-     * Creates a report.
-     *
-     * @param context The tools.
-     * @param request The request.
-     */
     ExchangeRecorder(ExchangeContext context, ProxyRequest request) {
         this.context = context;
         this.request = request;
     }
 
-    /**
-     * Notes the choice of a backend server.
-     *
-     * @param choice The choice.
-     */
-    void chosen(Choice choice) {
+    /** Records the predicted cost of the first choice. */
+    void recordChoice(Choice choice) {
         if (costMillis < 0) {
             costMillis = (long) choice.costMillis();
         }
     }
 
-    /**
-     * Notes the first event or the whole answer.
-     *
-     * @param nowMillis The present monotonic time in milliseconds.
-     */
-    void first(long nowMillis) {
+    /** Records the arrival of the first event or the complete response. */
+    void recordFirstEvent(long nowMillis) {
         firstMillis = nowMillis - request.receivedMillis();
-        context.metrics().first(request.route().name(), customer(), firstMillis);
+        context.metrics().recordFirstEvent(request.route().name(), customer(), firstMillis);
     }
 
-    /** Counts the request as one that began to run, once. */
-    void began() {
+    /** Counts the request in the customer's usage, once. */
+    void recordStart() {
         if (counted) {
             return;
         }
@@ -74,17 +58,12 @@
     }
 
     /**
-     * Tells of a failed attempt.
+     * Records a failed attempt at a backend server.
      *
-     * @param backend The backend server.
-     * @param outcome How the attempt ended.
-     * @param detail What happened.
-     * @param next What follows.
-     * @param history What happened so far.
-     * @param remainingMillis The time left in milliseconds.
-     * @param afterMillis The time since the attempt started in milliseconds.
+     * @param remainingMillis The time until the deadline in milliseconds.
+     * @param afterMillis The duration of the attempt in milliseconds.
      */
-    void attemptFailed(
+    void recordFailedAttempt(
             Backend backend,
             AttemptOutcome outcome,
             String detail,
@@ -92,7 +71,7 @@
             AttemptHistory history,
             long remainingMillis,
             long afterMillis) {
-        context.metrics().attemptFailed(request.pool().name(), outcome.name());
+        context.metrics().recordFailedAttempt(request.pool().name(), outcome.name());
         context.events()
                 .emit(new ExchangeEvents.AttemptFailed(
                         request.id(),
@@ -106,16 +85,13 @@
     }
 
     /**
-     * Tells of the end of the request.
+     * Records the end of the request.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param outcome How it ended.
-     * @param status The status of the answer; 0 if the connection was closed.
-     * @param backend The last backend server.
-     * @param attempts The attempts that were sent.
+     * @param status The status of the response; 0 if the connection was closed.
+     * @param attempts The attempts with an established connection.
      */
-    void ended(long nowMillis, String outcome, int status, String backend, int attempts) {
-        context.metrics().ended(request.route().name(), customer(), outcome);
+    void recordEnd(long nowMillis, String outcome, int status, String backend, int attempts) {
+        context.metrics().recordEnd(request.route().name(), customer(), outcome);
         context.events()
                 .emit(new ExchangeEvents.RequestEnded(
                         request.id(),
@@ -131,11 +107,6 @@
                         nowMillis - request.receivedMillis()));
     }
 
-    /**
-     * Returns the customer.
-     *
-     * @return The name of the customer, or a dash.
-     */
     private String customer() {
         return request.customer().orElse(NO_CUSTOMER);
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/HeaderCodec.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/HeaderCodec.java
@@ -5,55 +5,38 @@
 import java.util.OptionalLong;
 import org.cranberrygauge.proxy.routing.Prompt;
 
-/**
- * Translates between headers on the wire and what they mean.
- *
- * <p>Implementations are stateless and safe for use by several threads.
- */
+/** Translates between HTTP headers and their meaning. Implementations are stateless and thread-safe. */
 public interface HeaderCodec {
 
-    /**
-     * Reads what a caller says in its headers.
-     *
-     * @param headers The headers.
-     * @return What they mean.
-     */
-    CallerHeaders readCaller(MultiMap headers);
+    /** Decodes the headers of a caller's request. */
+    CallerHeaders decodeCaller(MultiMap headers);
 
     /**
-     * Writes the headers of a request to a backend server: the caller's, except those that concern one connection or belong
-     * to the proxy, and the proxy's own.
+     * Writes the headers of a request to a backend server: the caller's, except those that are hop-by-hop or reserved
+     * for the proxy, and the proxy's own.
      *
-     * @param callerHeaders The headers of the caller.
-     * @param head What the proxy says.
-     * @param target The headers to write.
+     * @param target Receives the headers.
      */
-    void writeBackend(MultiMap callerHeaders, BackendHeaders head, MultiMap target);
+    void encodeBackend(MultiMap callerHeaders, BackendHeaders proxyHeaders, MultiMap target);
 
-    /**
-     * Reads what a backend server says in the headers of its answer.
-     *
-     * @param headers The headers.
-     * @return What they mean.
-     */
-    BackendResponseHeaders readAnswer(MultiMap headers);
+    /** Decodes the headers of a backend server's response. */
+    BackendResponseHeaders decodeResponse(MultiMap headers);
 
     /**
-     * Copies the headers of an answer that are passed on to the caller.
+     * Copies the headers of a backend server's response that are forwarded to the caller.
      *
-     * @param answerHeaders The headers of the answer.
-     * @param target The headers to write.
+     * @param target Receives the headers.
      */
-    void copyAnswer(MultiMap answerHeaders, MultiMap target);
+    void copyResponse(MultiMap responseHeaders, MultiMap target);
 
     /**
-     * What a caller says in its headers.
+     * The decoded headers of a caller's request.
      *
-     * @param requestId The identifier of this request, new for each repeat by the caller.
-     * @param remainingMillis The time that the caller waits, in milliseconds.
-     * @param key The caller's key.
-     * @param lastEventId The event after which a stream shall go on.
-     * @param prompt The prompt.
+     * @param requestId The identifier of the request; a caller uses a new one for each retry.
+     * @param remainingMillis The time until the caller's deadline in milliseconds.
+     * @param key The key that the caller sent.
+     * @param lastEventId The event after which a stream is to be resumed.
+     * @param prompt The description of the prompt; {@link Prompt#NONE} if there is none.
      */
     record CallerHeaders(
             Optional<String> requestId,
@@ -63,14 +46,15 @@
             Prompt prompt) {}
 
     /**
-     * What the proxy says to a backend server.
+     * The proxy's own headers for a request to a backend server.
      *
      * @param requestId The identifier of the request.
-     * @param backendId The identifier of the backend server that is meant.
-     * @param remainingMillis The time left in milliseconds.
-     * @param customer The customer, if the route needs a key.
+     * @param backendId The identifier of the intended backend server; another one at the same address rejects the
+     *     request.
+     * @param remainingMillis The time until the deadline in milliseconds.
+     * @param customer The customer, if the route requires a key.
      * @param urgency The urgency from 0, the most urgent, to 9.
-     * @param lastEventId The event after which a stream shall go on.
+     * @param lastEventId The event after which a stream is to be resumed.
      */
     record BackendHeaders(
             String requestId,
@@ -81,11 +65,11 @@
             Optional<String> lastEventId) {}
 
     /**
-     * What a backend server says in the headers of its answer.
+     * The decoded headers of a backend server's response.
      *
-     * @param requestId The identifier of the request that it answers.
-     * @param notRun Whether it says that the request has not run.
-     * @param signature Whether the answer has the signature of a backend server.
+     * @param requestId The identifier of the request that it belongs to.
+     * @param notRun Whether the backend server states that it did not run the request.
+     * @param signature Whether the response carries the signature of a backend server.
      */
     record BackendResponseHeaders(Optional<String> requestId, boolean notRun, boolean signature) {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/IngressServer.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/IngressServer.java
@@ -7,38 +7,26 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.runtime.http.StrictRequestDecoder;
 
-/**
- * The server that callers connect to.
- *
- * <p>Safe for use by several threads.
- */
+/** The HTTP server for callers. Thread-safe. */
 public final class IngressServer {
 
-    /** The longest head of a request in bytes. */
-    private static final int HEAD_BYTES = 65_536;
+    /** The maximum size of all request headers. */
+    private static final int MAXIMUM_HEADER_BYTES = 65_536;
 
-    /** The longest first line of a request in bytes. */
-    private static final int LINE_BYTES = 16_384;
+    private static final int MAXIMUM_REQUEST_LINE_BYTES = 16_384;
 
-    /** The connections that may wait to be accepted. */
-    private static final int BACKLOG = 1_024;
+    /** The maximum number of connections that wait to be accepted. */
+    private static final int ACCEPT_BACKLOG = 1_024;
 
-    /** The server. */
     private final HttpServer server;
 
-    /**
-     * Creates a server.
-     *
-     * @param vertx The Vert.x instance.
-     * @param handler Takes requests.
-     */
     public IngressServer(Vertx vertx, CallerHandler handler) {
         HttpServerOptions options = new HttpServerOptions()
                 .setHttp2ClearTextEnabled(false)
                 .setTcpNoDelay(true)
-                .setAcceptBacklog(BACKLOG)
-                .setMaxHeaderSize(HEAD_BYTES)
-                .setMaxInitialLineLength(LINE_BYTES)
+                .setAcceptBacklog(ACCEPT_BACKLOG)
+                .setMaxHeaderSize(MAXIMUM_HEADER_BYTES)
+                .setMaxInitialLineLength(MAXIMUM_REQUEST_LINE_BYTES)
                 .setHandle100ContinueAutomatically(true);
         server = vertx.createHttpServer(options)
                 .connectionHandler(connection -> StrictRequestDecoder.install(connection, options))
@@ -46,12 +34,7 @@
                 .requestHandler(handler);
     }
 
-    /**
-     * Starts to listen.
-     *
-     * @param address The address.
-     * @return The end of the start.
-     */
+    /** Starts to listen; completes when the socket is bound. */
     public Future<Void> listen(NetworkAddress address) {
         return server.listen(address.port(), address.host()).mapEmpty();
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolWaitQueues.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/PoolWaitQueues.java
@@ -5,48 +5,33 @@
 import java.util.Optional;
 import org.cranberrygauge.proxy.admission.WaitQueue;
 
-/**
- * The requests that wait for room at the engines of each pool.
- *
- * <p>Used by one thread.
- */
+/** The requests that wait until an engine has capacity, by pool. Not thread-safe. */
 public final class PoolWaitQueues {
 
-    /** The lines by name of the pool. */
-    private final Map<String, WaitQueue<Exchange>> lines = new HashMap<>();
+    private final Map<String, WaitQueue<Exchange>> queues = new HashMap<>();
 
-    /**
-     * Returns the line of a pool.
-     *
-     * @param pool The name of the pool.
-     * @return The line.
-     */
     WaitQueue<Exchange> of(String pool) {
-        return lines.computeIfAbsent(pool, name -> new WaitQueue<>());
+        return queues.computeIfAbsent(pool, name -> new WaitQueue<>());
     }
 
     /**
-     * Lets requests go on for which there is room, and gives up those whose time is short.
+     * Sends the requests for which an engine has capacity by now, and rejects the expired ones.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public void advance(long nowMillis) {
-        for (WaitQueue<Exchange> line : lines.values()) {
-            line.removeExpired(nowMillis).forEach(Exchange::expireInQueue);
-            Optional<Exchange> first = line.peek(nowMillis);
-            while (first.isPresent() && first.get().tryDispatch()) {
-                line.remove(first.get());
-                first = line.peek(nowMillis);
+    public void dispatch(long nowMillis) {
+        for (WaitQueue<Exchange> queue : queues.values()) {
+            queue.removeExpired(nowMillis).forEach(Exchange::expireInQueue);
+            Optional<Exchange> next = queue.peek(nowMillis);
+            while (next.isPresent() && next.get().tryDispatch()) {
+                queue.remove(next.get());
+                next = queue.peek(nowMillis);
             }
         }
     }
 
-    /**
-     * Returns the number of requests that wait.
-     *
-     * @return The number.
-     */
+    /** Returns the number of queued requests of all pools. */
     public int size() {
-        return lines.values().stream().mapToInt(WaitQueue::size).sum();
+        return queues.values().stream().mapToInt(WaitQueue::size).sum();
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyRequest.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyRequest.java
@@ -10,21 +10,16 @@
 import org.cranberrygauge.proxy.exchange.HeaderCodec.CallerHeaders;
 
 /**
- * A request that was taken, with its whole body.
+ * An admitted request with its complete body.
  *
- * @param id The identifier.
- * @param method The method.
+ * @param id The identifier of the request.
  * @param uri The path and query as the caller sent them.
- * @param host The host that the caller asks for.
- * @param headers The caller's headers.
- * @param body The body.
- * @param head What the caller says in its headers.
- * @param route The route.
- * @param pool The pool that serves it.
- * @param customer The customer, if the route needs a key.
- * @param urgency The urgency for backend servers.
- * @param receivedMillis The monotonic time at which the head was read, in milliseconds.
- * @param endMillis The monotonic time at which the final answer is due, in milliseconds.
+ * @param host The value of the Host header.
+ * @param callerHeaders The decoded headers.
+ * @param customer The customer, if the route requires a key.
+ * @param urgency The urgency from 0, the most urgent, to 9.
+ * @param receivedMillis The monotonic time at which the request headers were read, in milliseconds.
+ * @param deadlineMillis The monotonic time at which the final response is due, in milliseconds.
  */
 public record ProxyRequest(
         String id,
@@ -33,40 +28,28 @@
         String host,
         MultiMap headers,
         Buffer body,
-        CallerHeaders head,
+        CallerHeaders callerHeaders,
         Route route,
         Pool pool,
         Optional<String> customer,
         int urgency,
         long receivedMillis,
-        long endMillis) {
+        long deadlineMillis) {
 
-    /** The part of its time that a request may wait for room. */
-    private static final double WAITING_PART = 0.4;
+    /** The fraction of the time until its deadline that a request may be queued. */
+    private static final double QUEUEING_FRACTION = 0.4;
 
-    /**
-     * Returns the time up to which the first event is on time.
-     *
-     * @return The monotonic time in milliseconds.
-     */
+    /** Returns the monotonic time until which the first event meets the route's target latency, in milliseconds. */
     public long onTimeMillis() {
         return receivedMillis + route.targetMillis();
     }
 
-    /**
-     * Returns the time up to which the request may wait for room.
-     *
-     * @return The monotonic time in milliseconds.
-     */
+    /** Returns the monotonic time at which the request expires in the queue, in milliseconds. */
     public long giveUpMillis() {
-        return receivedMillis + (long) ((endMillis - receivedMillis) * WAITING_PART);
+        return receivedMillis + (long) ((deadlineMillis - receivedMillis) * QUEUEING_FRACTION);
     }
 
-    /**
-     * Returns a hash by which a repeat of the same request by the same customer is recognised.
-     *
-     * @return The hash.
-     */
+    /** Returns a hash of customer, URI and body, which identifies retries of the same request by the caller. */
     public long fingerprint() {
         long hash = StableHash.update(StableHash.START, customer.orElse("") + '\n' + uri + '\n');
         for (int index = 0; index < body.length(); index++) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
@@ -1,26 +1,24 @@
 package org.cranberrygauge.proxy.exchange;
 
 /**
- * Decides whether a request waits since the process has just started and knows no configuration or no backend servers yet.
+ * Decides whether a request has to wait because the process has just started and knows no configuration or no backend
+ * servers yet.
  *
- * <p>After a full stop the callers come at once, a little before the first reads of the shared log end. Stateless and safe for
- * use by several threads.
+ * <p>After a stop of all hosts, callers reconnect at once, shortly before the first reads of the shared log complete.
+ * Stateless and thread-safe.
  */
 final class StartupGate {
 
-    /** The longest time that a request waits, in milliseconds. */
-    private static final long HOLD_MILLIS = 400;
+    private static final long MAXIMUM_WAIT_MILLIS = 400;
 
     /**
-     * Decides whether a request waits.
+     * Decides whether a request has to wait.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      * @param arrivedMillis The monotonic time at which the request arrived, in milliseconds.
-     * @param state What the host believes.
-     * @return Whether it waits.
      */
-    boolean holds(long nowMillis, long arrivedMillis, ProxyState state) {
-        if (state.draining() || nowMillis - arrivedMillis >= HOLD_MILLIS) {
+    boolean mustWait(long nowMillis, long arrivedMillis, ProxyState state) {
+        if (state.draining() || nowMillis - arrivedMillis >= MAXIMUM_WAIT_MILLIS) {
             return false;
         }
         return state.configuration().configuration().isEmpty()
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StatusServer.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StatusServer.java
@@ -8,45 +8,26 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.runtime.metrics.MetricsEndpoint;
 
-/**
- * Tells the balancer whether this host takes requests, and serves metrics.
- *
- * <p>Safe for use by several threads.
- */
+/** Tells the load balancer whether this host accepts requests, and serves metrics. Thread-safe. */
 public final class StatusServer {
 
-    /** The status of a host that takes requests. */
     private static final int OK = 200;
 
-    /** The status of a host that takes no requests. */
     private static final int UNAVAILABLE = 503;
 
-    /** The status for an unknown path. */
     private static final int NOT_FOUND = 404;
 
-    /** The path of the metrics. */
     private static final String METRICS_PATH = "/metrics";
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The path that the balancer asks. */
+    /** The path of the readiness endpoint. */
     private final String readyPath;
 
-    /** Tells whether this host takes requests. */
     private final BooleanSupplier ready;
 
-    /** Answers with metrics. */
     private final MetricsEndpoint metrics;
 
-    /**
-     * Creates a server.
-     *
-     * @param vertx The Vert.x instance.
-     * @param readyPath The path that the balancer asks.
-     * @param ready Tells whether this host takes requests.
-     * @param registry The registry of the metrics.
-     */
     public StatusServer(Vertx vertx, String readyPath, BooleanSupplier ready, PrometheusRegistry registry) {
         this.vertx = vertx;
         this.readyPath = readyPath;
@@ -54,12 +35,7 @@
         this.metrics = new MetricsEndpoint(registry);
     }
 
-    /**
-     * Starts to listen.
-     *
-     * @param address The address.
-     * @return The end of the start.
-     */
+    /** Starts to listen; completes when the socket is bound. */
     public Future<Void> listen(NetworkAddress address) {
         return vertx.createHttpServer()
                 .requestHandler(this::handle)
@@ -67,11 +43,6 @@
                 .mapEmpty();
     }
 
-    /**
-     * Answers a request.
-     *
-     * @param request The request.
-     */
     private void handle(HttpServerRequest request) {
         if (METRICS_PATH.equals(request.path())) {
             metrics.handle(request);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** The way of a request from its caller to backend servers and back. */
+/** The exchange of a request: from the caller to backend servers, and the response back. */
 package org.cranberrygauge.proxy.exchange;
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
@@ -10,31 +10,31 @@
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.junit.jupiter.api.Test;
 
-/** Answers the pattern of callers that come back at once after all hosts were stopped. */
+/** Guards against rejected requests when callers reconnect before a restarted host has read its state. */
 class StartupGateTest {
 
-    private final StartupGate hold = new StartupGate();
+    private final StartupGate gate = new StartupGate();
 
     private final ProxyState state = new ProxyState();
 
     @Test
     void aRequestWaitsUntilConfigurationAndBackendServersAreKnown() {
-        assertThat(hold.holds(100, 0, state)).isTrue();
+        assertThat(gate.mustWait(100, 0, state)).isTrue();
         state.publish(new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(0, 0)));
-        assertThat(hold.holds(150, 0, state)).isTrue();
+        assertThat(gate.mustWait(150, 0, state)).isTrue();
         state.publish(new BackendSnapshot(List.of(), true));
-        assertThat(hold.holds(160, 0, state)).isFalse();
+        assertThat(gate.mustWait(160, 0, state)).isFalse();
     }
 
     @Test
-    void aRequestDoesNotWaitForLong() {
-        assertThat(hold.holds(399, 0, state)).isTrue();
-        assertThat(hold.holds(400, 0, state)).isFalse();
+    void aRequestWaitsForABoundedTime() {
+        assertThat(gate.mustWait(399, 0, state)).isTrue();
+        assertThat(gate.mustWait(400, 0, state)).isFalse();
     }
 
     @Test
     void aRequestDoesNotWaitWhileTheHostDrains() {
-        state.drain(0);
-        assertThat(hold.holds(1, 0, state)).isFalse();
+        state.startDraining(0);
+        assertThat(gate.mustWait(1, 0, state)).isFalse();
     }
 }
