--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/DrainWait.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/DrainWait.java
@@ -4,66 +4,58 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Decides when a process that was told to stop may end.
+ * Decides when a process that received a stop signal may exit.
  *
- * <p>It stays until the balancer has surely noticed, until no request is in progress, and at most for the grace period less
- * a reserve. Used by one thread.
+ * <p>It stays until the load balancer has certainly noticed and no request is in progress, but at most for the grace
+ * period less a reserve. Not thread-safe.
  */
 final class DrainWait {
 
-    /** The time within which the balancer stops to send connections, in milliseconds. */
-    private static final long BALANCER_MILLIS = 3_200;
+    /** The time within which the load balancer stops sending connections. */
+    private static final long BALANCER_NOTICE_MILLIS = 3_200;
 
-    /** The time without a request after which the process ends, in milliseconds. */
-    private static final long QUIET_MILLIS = 300;
+    /** The time without a request in progress after which the process may exit. */
+    private static final long IDLE_MILLIS = 300;
 
-    /** The part of the grace period that is kept for the end itself, in milliseconds. */
-    private static final long RESERVE_MILLIS = 800;
+    /** The part of the grace period that is reserved for the exit itself. */
+    private static final long EXIT_RESERVE_MILLIS = 800;
 
-    /** The pause between looks in milliseconds. */
-    private static final long PAUSE_MILLIS = 50;
+    /** The interval between checks. */
+    private static final long POLL_INTERVAL_MILLIS = 50;
 
-    /** The monotonic time of the order to stop. */
+    /** The monotonic time of the stop signal. */
     private final long startMillis;
 
-    /** The grace period in milliseconds. */
     private final long graceMillis;
 
     /** The monotonic time at which a request was last in progress. */
-    private long busyMillis;
+    private long lastActiveMillis;
 
-    /**
-     * Creates a wait.
-     *
-     * @param startMillis The monotonic time of the order to stop.
-     * @param graceMillis The grace period in milliseconds.
-     */
     DrainWait(long startMillis, long graceMillis) {
         this.startMillis = startMillis;
         this.graceMillis = graceMillis;
-        this.busyMillis = startMillis;
+        this.lastActiveMillis = startMillis;
     }
 
     /**
-     * Decides whether the process may end.
+     * Tells whether the process may exit.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param active The requests in progress.
-     * @return Whether it may end.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param active The number of requests in progress.
      */
     boolean isOver(long nowMillis, int active) {
         if (active > 0) {
-            busyMillis = nowMillis;
+            lastActiveMillis = nowMillis;
         }
         long elapsed = nowMillis - startMillis;
-        if (elapsed >= graceMillis - RESERVE_MILLIS) {
+        if (elapsed >= graceMillis - EXIT_RESERVE_MILLIS) {
             return true;
         }
-        return elapsed >= BALANCER_MILLIS && nowMillis - busyMillis >= QUIET_MILLIS;
+        return elapsed >= BALANCER_NOTICE_MILLIS && nowMillis - lastActiveMillis >= IDLE_MILLIS;
     }
 
-    /** Waits until the next look. */
+    /** Blocks until the next check. */
     void pause() {
-        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_MILLIS));
+        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(POLL_INTERVAL_MILLIS));
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -41,92 +41,69 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * One process of the proxy: requests run on one event loop and the controllers on another, which share the board.
- *
- * <p>Safe for use by several threads.
+ * One proxy process. Requests run on one event loop and the controllers on another; both share the {@link ProxyState}.
+ * Thread-safe.
  */
 public final class Proxy {
 
-    /** The part of the bound for withdrawn keys that is left unused, in milliseconds. */
-    private static final long KEY_MARGIN_MILLIS = 250;
+    /** The part of the bound for withdrawn keys that is not used, as a safety margin. */
+    private static final long KEY_BOUND_MARGIN_MILLIS = 250;
 
-    /** The pause between publications of this host's work, in milliseconds. */
-    private static final long PUBLISH_MILLIS = 100;
+    /** The interval between publications of this host's load. */
+    private static final long PUBLISH_INTERVAL_MILLIS = 100;
 
-    /** The pause between looks at the requests that wait for room, in milliseconds. */
-    private static final long ADVANCE_MILLIS = 25;
+    /** The interval between checks of the queued requests. */
+    private static final long DISPATCH_INTERVAL_MILLIS = 25;
 
-    /** The settings. */
     private final ProxySettings settings;
 
-    /** What the process is connected to. */
-    private final ProxyDependencies sources;
+    private final ProxyDependencies dependencies;
 
-    /** The Vert.x instance. */
     private final Vertx vertx;
 
-    /** The clocks. */
     private final TimeSource time;
 
     /** The clocks by which usage is counted. */
     private final TimeSource usageTime;
 
-    /** The event log. */
     private final EventLog events;
 
-    /** What the host believes. */
     private final ProxyState state = new ProxyState();
 
-    /** The registry of the metrics. */
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
-    /** Tells other hosts which engine reads which prompt part. */
     private final PlacementExchange placements = new PlacementExchange();
 
-    /** The context of the controllers. */
-    private final Context control;
+    /** The event loop of the controllers. */
+    private final Context controlContext;
 
-    /** The context of requests. */
-    private final Context traffic;
+    /** The event loop of requests. */
+    private final Context requestContext;
 
-    /** Keeps the host in the group that deals the duties. */
     private LeaderElection election;
 
-    /** Writes usage counts. */
     private UsageCountWriter usageWriter;
 
-    /**
-     * Creates a process.
-     *
-     * @param settings The settings.
-     * @param sources What the process is connected to.
-     * @param vertx The Vert.x instance.
-     * @param time The clocks.
-     * @param events The event log.
-     */
-    public Proxy(ProxySettings settings, ProxyDependencies sources, Vertx vertx, TimeSource time, EventLog events) {
+    public Proxy(
+            ProxySettings settings, ProxyDependencies dependencies, Vertx vertx, TimeSource time, EventLog events) {
         this.settings = settings;
-        this.sources = sources;
+        this.dependencies = dependencies;
         this.vertx = vertx;
         this.time = time;
         this.events = events;
         this.usageTime = new JumpTolerantTimeSource(time);
-        this.control = vertx.getOrCreateContext();
-        this.traffic = vertx.getOrCreateContext();
+        this.controlContext = vertx.getOrCreateContext();
+        this.requestContext = vertx.getOrCreateContext();
     }
 
-    /**
-     * Starts the process.
-     *
-     * @return The end of the start.
-     */
+    /** Starts the controllers, then the servers; completes when callers can connect. */
     public Future<Void> start() {
         AtomicReference<Map<String, Work>> ownWork = new AtomicReference<>(Map.of());
         CrashTracker crashes = new CrashTracker();
         UsageCounter usage = new UsageCounter(settings.times().usageWindowMillis());
         Promise<Void> started = Promise.promise();
-        control.runOnContext(run -> startControl(ownWork, crashes, usage)
-                .onComplete(done -> traffic.runOnContext(next -> startTraffic(ownWork, crashes, usage)
+        controlContext.runOnContext(run -> startControllers(ownWork, crashes, usage)
+                .onComplete(done -> requestContext.runOnContext(next -> startIngress(ownWork, crashes, usage)
                         .onSuccess(listening -> events.emit(new ProxyEvents.ProxyStarted(
                                 settings.host(), settings.dataCentre(), Program.version())))
                         .onComplete(started))));
@@ -134,19 +111,19 @@
     }
 
     /**
-     * Tells whether this host takes requests.
-     *
-     * @return Whether it takes requests.
+     * Tells whether this host accepts requests: it does not drain, knows the backend servers, and its configuration is
+     * recent enough to honour keys.
      */
     public boolean ready() {
         ConfigurationView view = state.configuration();
         return !state.draining()
                 && state.backends().known()
-                && view.isFresh(time.monotonicMillis(), time.wallMillis(), keyBoundMillis());
+                && view.isFresh(time.monotonicMillis(), time.wallMillis(), maximumKeyAgeMillis());
     }
 
     /**
-     * Stops the process: it leaves the balancer, lets requests in progress end, and hands over its duties.
+     * Stops the process: reports it as not ready, waits for the requests in progress, and releases leadership. Blocks
+     * at most for the grace period.
      *
      * @return The number of requests that were cut off.
      */
@@ -154,62 +131,52 @@
         long startMillis = time.monotonicMillis();
         state.startDraining(startMillis);
         events.emit(new ProxyEvents.ProxyDraining(state.active().get()));
-        control.runOnContext(run -> election.leave());
+        controlContext.runOnContext(run -> election.leave());
         DrainWait wait = new DrainWait(startMillis, settings.times().graceMillis());
         while (!wait.isOver(time.monotonicMillis(), state.active().get())) {
             wait.pause();
         }
-        control.runOnContext(run -> usageWriter.flush());
+        controlContext.runOnContext(run -> usageWriter.flush());
         wait.pause();
         int active = state.active().get();
         events.emit(new ProxyEvents.ProxyStopped(active, time.monotonicMillis() - startMillis));
         return active;
     }
 
-    /**
-     * Starts the controllers.
-     *
-     * @param ownWork The work of this host.
-     * @param crashes The requests that crash backend servers.
-     * @param usage The usage counts.
-     * @return The end of the start.
-     */
-    private Future<Void> startControl(
+    private Future<Void> startControllers(
             AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
-        ControllerContext context = new ControllerContext(vertx, time, sources.log(), state, events);
+        ControllerContext context = new ControllerContext(vertx, time, dependencies.log(), state, events);
         String incarnation = Program.incarnation(settings.host(), time.wallMillis());
-        HostNetwork network = HostNetwork.of(context, settings, sources.hostTopic());
+        HostNetwork network = HostNetwork.of(context, settings, dependencies.hostTopic());
         new ConfigurationFollower(
                         context,
                         network.relay(),
-                        sources.configurationTopic(),
-                        sources.configurationKey(),
-                        sources.configurations(),
+                        dependencies.configurationTopic(),
+                        dependencies.configurationKey(),
+                        dependencies.configurations(),
                         times.configurationMillis())
                 .start();
-        new BackendFollower(context, network.relay(), sources.backendTopic(), sources.backends(), times.leavingMillis())
+        new BackendFollower(
+                        context,
+                        network.relay(),
+                        dependencies.backendTopic(),
+                        dependencies.backends(),
+                        times.leavingMillis())
                 .start();
         election = new LeaderElection(context, network.relay(), incarnation, times.leaseMillis());
         election.start();
-        ControllerContext usageContext = new ControllerContext(vertx, usageTime, sources.log(), state, events);
+        ControllerContext usageContext = new ControllerContext(vertx, usageTime, dependencies.log(), state, events);
         usageWriter = new UsageCountWriter(usageContext, network, usage, incarnation);
         usageWriter.start();
-        new UsageReportController(usageContext, election, sources.duties(), times.usageWindowMillis()).start();
-        new FleetController(context, election, sources.duties(), ownWork).start();
+        new UsageReportController(usageContext, election, dependencies.controlPlane(), times.usageWindowMillis())
+                .start();
+        new FleetController(context, election, dependencies.controlPlane(), ownWork).start();
         return new PeerReportExchange(context, settings, network, time.wallMillis(), crashes, placements, ownWork)
                 .start();
     }
 
-    /**
-     * Starts to take requests.
-     *
-     * @param ownWork The work of this host.
-     * @param crashes The requests that crash backend servers.
-     * @param usage The usage counts.
-     * @return The end of the start.
-     */
-    private Future<Void> startTraffic(
+    private Future<Void> startIngress(
             AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
         LoadTable loads = new LoadTable();
@@ -221,7 +188,7 @@
                 time,
                 state,
                 new BackendClient(vertx),
-                sources.codec(),
+                dependencies.codec(),
                 new BackendChooser(settings.dataCentre(), loads, new SplittableRandom()),
                 loads,
                 placements,
@@ -232,29 +199,24 @@
                 usageTime,
                 metrics,
                 events);
-        RequestAdmission gate = new RequestAdmission(keyBoundMillis(), times.configurationMillis());
-        vertx.setPeriodic(ADVANCE_MILLIS, fired -> queues.dispatch(time.monotonicMillis()));
-        vertx.setPeriodic(PUBLISH_MILLIS, fired -> {
+        RequestAdmission admission = new RequestAdmission(maximumKeyAgeMillis(), times.configurationMillis());
+        vertx.setPeriodic(DISPATCH_INTERVAL_MILLIS, fired -> queues.dispatch(time.monotonicMillis()));
+        vertx.setPeriodic(PUBLISH_INTERVAL_MILLIS, fired -> {
             placements.applyTo(loads);
             ownWork.set(loads.work());
             loads.removeUnlisted(state.backends());
-            publish(hostMetrics, queues.size());
+            publishMetrics(hostMetrics, queues.size());
         });
-        return new IngressServer(vertx, new CallerHandler(context, gate))
+        return new IngressServer(vertx, new CallerHandler(context, admission))
                 .listen(settings.front())
                 .compose(listening ->
                         new StatusServer(vertx, settings.readyPath(), this::ready, registry).listen(settings.status()));
     }
 
-    /**
-     * Publishes what the host has in hand and believes as metrics.
-     *
-     * @param metrics The metrics.
-     * @param waiting The requests that wait for room.
-     */
-    private void publish(HostMetrics metrics, int waiting) {
+    /** Updates the metrics of the host's state. */
+    private void publishMetrics(HostMetrics metrics, int waitingRequests) {
         ConfigurationView view = state.configuration();
-        metrics.recordRequests(state.active().get(), waiting);
+        metrics.recordRequests(state.active().get(), waitingRequests);
         metrics.recordState(
                 view.configuration().map(known -> known.version()).orElse(-1L),
                 view.loggedAgeMillis(time.monotonicMillis()),
@@ -263,12 +225,8 @@
                 ready());
     }
 
-    /**
-     * Returns the age of the configuration up to which keys are honoured.
-     *
-     * @return The age in milliseconds.
-     */
-    private long keyBoundMillis() {
-        return settings.times().keyWithdrawalMillis() - KEY_MARGIN_MILLIS;
+    /** Returns the age of the configuration up to which keys are honoured. */
+    private long maximumKeyAgeMillis() {
+        return settings.times().keyWithdrawalMillis() - KEY_BOUND_MARGIN_MILLIS;
     }
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyDependencies.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyDependencies.java
@@ -8,17 +8,12 @@
 import org.cranberrygauge.proxy.store.SharedLog;
 
 /**
- * What a process of the proxy is connected to.
+ * The external systems of a proxy process and the codecs for their data.
  *
- * @param log The shared log.
- * @param configurationTopic The topic with the configuration.
- * @param configurationKey The key under which the configuration is kept.
- * @param configurations Reads configurations.
- * @param hostTopic The topic in which hosts write where they take messages.
- * @param backendTopic The topic with the entries of backend servers.
- * @param backends Reads entries of backend servers.
- * @param duties Takes what one host does for all.
- * @param codec Translates headers.
+ * @param configurationKey The key under which the configuration is stored.
+ * @param hostTopic The topic in which hosts publish their addresses.
+ * @param backendTopic The topic in which backend servers register.
+ * @param controlPlane The control-plane calls of the leader.
  */
 public record ProxyDependencies(
         SharedLog log,
@@ -28,5 +23,5 @@
         String hostTopic,
         String backendTopic,
         RecordReader<Backend> backends,
-        ControlPlaneClient duties,
+        ControlPlaneClient controlPlane,
         HeaderCodec codec) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyEvents.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxyEvents.java
@@ -5,14 +5,13 @@
 /** The events of the process. */
 public final class ProxyEvents {
 
-    /** Prevents instances. */
     private ProxyEvents() {}
 
     /**
-     * The process listens.
+     * The process accepts connections.
      *
      * @param host The name of the host.
-     * @param dataCentre The data centre.
+     * @param dataCentre The data centre of the host.
      * @param version The version of the program.
      */
     public record ProxyStarted(String host, String dataCentre, String version) implements Event {}
@@ -20,29 +19,29 @@
     /**
      * The process could not start.
      *
-     * @param detail What happened.
+     * @param detail The error message.
      */
     public record ProxyStartFailed(String detail) implements Event {}
 
     /**
-     * The process was told to stop and drains.
+     * The process received a stop signal and drains.
      *
-     * @param active The requests in progress.
+     * @param active The number of requests in progress.
      */
     public record ProxyDraining(int active) implements Event {}
 
     /**
-     * The process ends.
+     * The process exits.
      *
-     * @param active The requests that are cut off.
-     * @param afterMillis The time since it was told to stop, in milliseconds.
+     * @param active The number of requests that are cut off.
+     * @param afterMillis The time since the stop signal in milliseconds.
      */
     public record ProxyStopped(int active, long afterMillis) implements Event {}
 
     /**
      * The settings were read again.
      *
-     * @param outcome What came of it.
+     * @param outcome Whether they changed, or why they were rejected.
      */
     public record SettingsReloaded(String outcome) implements Event {}
 }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxySettings.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/ProxySettings.java
@@ -3,15 +3,15 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
- * What a process of the proxy is told at its start.
+ * The settings of a proxy process.
  *
  * @param host The name of the host.
  * @param dataCentre The data centre of the host.
  * @param front The address for callers.
- * @param status The address for the balancer and for metrics.
- * @param peers The address for reports of other hosts.
- * @param readyPath The path that the balancer asks.
- * @param times The times and bounds.
+ * @param status The address for the load balancer and for metrics.
+ * @param peers The address for messages of other hosts.
+ * @param readyPath The path of the readiness endpoint.
+ * @param times The time limits and bounds.
  */
 public record ProxySettings(
         String host,
@@ -23,17 +23,17 @@
         Times times) {
 
     /**
-     * Times and bounds.
+     * Time limits and bounds.
      *
-     * @param keyWithdrawalMillis The time within which a withdrawn key must stop working, in milliseconds.
-     * @param configurationMillis The time within which a configuration must be in force, in milliseconds.
-     * @param leavingMillis The time within which a leaving backend server must get no more requests, in milliseconds.
-     * @param graceMillis The time for an orderly stop in milliseconds.
-     * @param leaseMillis The time after which an earlier holder of duties has surely stopped, in milliseconds.
+     * @param keyWithdrawalMillis The time within which a withdrawn key must be rejected, in milliseconds.
+     * @param configurationMillis The time within which a new configuration must be in force, in milliseconds.
+     * @param leavingMillis The time within which a draining backend server must get no more requests, in milliseconds.
+     * @param graceMillis The time for a graceful shutdown in milliseconds.
+     * @param leaseMillis The time after which a previous leader has certainly stopped, in milliseconds.
      * @param usageWindowMillis The length of a usage window in milliseconds.
-     * @param retryWindowMillis The window of the budget of repeats in milliseconds.
-     * @param retryRatio The repeats allowed for each request.
-     * @param retryAllowance The repeats allowed besides, for all hosts together.
+     * @param retryWindowMillis The length of the window of the retry budget in milliseconds.
+     * @param retryRatio The retries allowed for each request.
+     * @param retryAllowance The retries allowed in addition in each window, for all hosts together.
      */
     public record Times(
             long keyWithdrawalMillis,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/Backend.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/Backend.java
@@ -4,16 +4,14 @@
 import org.cranberrygauge.model.backend.Supply;
 
 /**
- * One start of a backend server, as its own entry describes it.
+ * One incarnation of a backend server, as described by its own registration.
  *
  * @param id The identifier that requests name, so that another process at the same address rejects them.
- * @param startedMillis The time of its start in milliseconds of the epoch; a new start knows nothing of an earlier one.
- * @param pool The pool that it belongs to.
- * @param address Its address.
- * @param dataCentre Its data centre.
- * @param slots The requests that it runs at once.
- * @param leaving Whether it takes no new work.
- * @param supply How it is supplied.
+ * @param startedMillis The time of its start in milliseconds since the epoch; a restarted server has lost all its
+ *     state.
+ * @param slots The number of requests that it runs at once.
+ * @param leaving Whether it drains and accepts no new requests.
+ * @param supply Whether it is regular or cheap, reclaimable capacity.
  */
 public record Backend(
         String id,
@@ -25,11 +23,7 @@
         boolean leaving,
         Supply supply) {
 
-    /**
-     * Returns a name that differs for each start.
-     *
-     * @return The name.
-     */
+    /** Returns a name that is unique to this start of the server. */
     public String incarnation() {
         return id + "/" + startedMillis;
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/BackendRegistry.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/BackendRegistry.java
@@ -7,91 +7,81 @@
 import java.util.Set;
 
 /**
- * Keeps the entries of backend servers over outages of the store that holds them.
+ * Retains the entries of backend servers across outages of the store that holds them.
  *
- * <p>Entries also lapse because the store was away. So the last list holds during an outage, and an entry that is missing
- * after it is kept for the time in which living backend servers register again. An entry that says that the server leaves
- * holds at once. Used by one thread.
+ * <p>Entries also expire because the store was unavailable. Therefore the last list stays valid during an outage, and
+ * an entry that is missing afterwards is retained for the time in which running backend servers register again. An
+ * entry that marks a server as draining takes effect at once. Not thread-safe.
  */
 public final class BackendRegistry {
 
-    /** The time without a successful read that counts as an outage, in milliseconds. */
-    private static final long OUTAGE_MILLIS = 1_500;
+    /** The time without a successful read from which it counts as an outage. */
+    private static final long OUTAGE_THRESHOLD_MILLIS = 1_500;
 
-    /** The time after an outage in which living backend servers register again, in milliseconds. */
+    /** The time after an outage within which running backend servers register again. */
     private static final long REGISTRATION_MILLIS = 2_000;
 
-    /** The backend servers by identifier. */
     private final Map<String, Backend> backends = new HashMap<>();
 
-    /** The times at which entries that lapsed are taken as gone, by identifier. */
-    private final Map<String, Long> lapsed = new HashMap<>();
+    /** The monotonic times at which missing entries are removed, by identifier. */
+    private final Map<String, Long> expiryMillis = new HashMap<>();
 
-    /** Whether the entries have been read. */
+    /** Whether the entries have been read at least once. */
     private boolean known;
 
-    /** The time of the last successful read. */
-    private long reachedMillis;
+    /** The monotonic time of the last successful read. */
+    private long lastReadMillis;
 
-    /** The time at which the last outage ended. */
-    private long returnedMillis = Long.MIN_VALUE / 2;
+    /** The monotonic time at which the last outage ended. */
+    private long outageEndMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Notes a successful read, before its entries are taken.
+     * Records a successful read; called before its entries are applied.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public void reached(long nowMillis) {
-        if (known && nowMillis - reachedMillis > OUTAGE_MILLIS) {
-            returnedMillis = nowMillis;
+    public void recordRead(long nowMillis) {
+        if (known && nowMillis - lastReadMillis > OUTAGE_THRESHOLD_MILLIS) {
+            outageEndMillis = nowMillis;
         }
-        reachedMillis = nowMillis;
+        lastReadMillis = nowMillis;
         known = true;
     }
 
-    /**
-     * Takes an entry.
-     *
-     * @param backend The backend server.
-     */
+    /** Adds or replaces an entry. */
     public void put(Backend backend) {
         backends.put(backend.id(), backend);
-        lapsed.remove(backend.id());
+        expiryMillis.remove(backend.id());
     }
 
     /**
-     * Takes the removal of an entry.
+     * Removes an entry, after the registration time if the store was unavailable.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param id The identifier of the backend server.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
     public void remove(long nowMillis, String id) {
         Backend backend = backends.get(id);
-        long untilMillis = returnedMillis + REGISTRATION_MILLIS;
-        if (backend == null || backend.leaving() || nowMillis >= untilMillis) {
-            drop(id);
+        long registrationEndMillis = outageEndMillis + REGISTRATION_MILLIS;
+        if (backend == null || backend.leaving() || nowMillis >= registrationEndMillis) {
+            discard(id);
             return;
         }
-        lapsed.putIfAbsent(id, untilMillis);
+        expiryMillis.putIfAbsent(id, registrationEndMillis);
     }
 
-    /**
-     * Takes an entry that can't be understood, which names no backend server to use.
-     *
-     * @param id The identifier.
-     */
-    public void drop(String id) {
+    /** Removes an entry at once, for example because it can't be decoded. */
+    public void discard(String id) {
         backends.remove(id);
-        lapsed.remove(id);
+        expiryMillis.remove(id);
     }
 
     /**
-     * Takes a complete list in place of all entries.
+     * Replaces all entries by a complete list.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @param listed The backend servers that are listed, by identifier.
+     * @param nowMillis The current monotonic time in milliseconds.
+     * @param listed The backend servers by identifier.
      */
-    public void replaceAll(long nowMillis, Map<String, Backend> listed) {
+    public void replaceEntries(long nowMillis, Map<String, Backend> listed) {
         Set<String> missing = new HashSet<>(backends.keySet());
         missing.removeAll(listed.keySet());
         missing.forEach(id -> remove(nowMillis, id));
@@ -99,13 +89,12 @@
     }
 
     /**
-     * Returns the present catalogue.
+     * Removes expired entries and returns the current snapshot.
      *
-     * @param nowMillis The present monotonic time in milliseconds.
-     * @return The catalogue.
+     * @param nowMillis The current monotonic time in milliseconds.
      */
-    public BackendSnapshot catalogue(long nowMillis) {
-        Iterator<Map.Entry<String, Long>> entries = lapsed.entrySet().iterator();
+    public BackendSnapshot snapshot(long nowMillis) {
+        Iterator<Map.Entry<String, Long>> entries = expiryMillis.entrySet().iterator();
         while (entries.hasNext()) {
             Map.Entry<String, Long> entry = entries.next();
             if (nowMillis >= entry.getValue()) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Which backend servers there are, as their own entries say. */
+/** The backend servers that have registered. */
 package org.cranberrygauge.proxy.backend;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/EngineLimits.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/EngineLimits.java
@@ -1,9 +1,9 @@
 package org.cranberrygauge.proxy.configuration;
 
 /**
- * What one engine of a pool can hold.
+ * The capacity of each engine of a pool.
  *
- * @param slots The requests that run at once.
- * @param memoryTokens The tokens that running requests and cached prompt parts share.
+ * @param slots The number of requests that run at once.
+ * @param memoryTokens The size of the KV cache in tokens, which running requests and cached prompt parts share.
  */
 public record EngineLimits(int slots, long memoryTokens) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/FleetLimits.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/FleetLimits.java
@@ -3,18 +3,17 @@
 import java.util.Map;
 
 /**
- * How many backend servers of a pool may be ordered, and at what price.
+ * How many backend servers of a pool may be ordered, and their prices. Immutable.
  *
- * @param minimum The lowest number in each data centre.
- * @param maximum The highest number in each data centre.
- * @param bootMillis The time from an order until the backend server takes requests, in milliseconds.
- * @param cheapPrice The price of a reclaimable backend server as a share of a regular one's.
- * @param dataCentrePrices The price of a second of a regular backend server by data centre.
+ * @param minimum The minimum number in each data centre.
+ * @param maximum The maximum number in each data centre.
+ * @param bootMillis The time from an order until the backend server accepts requests, in milliseconds.
+ * @param cheapPrice The price of a cheap, reclaimable backend server as a fraction of a regular one's.
+ * @param dataCentrePrices The price per second of a regular backend server, by data centre.
  */
 public record FleetLimits(
         int minimum, int maximum, long bootMillis, double cheapPrice, Map<String, Double> dataCentrePrices) {
 
-    /** Copies the map. */
     public FleetLimits {
         dataCentrePrices = Map.copyOf(dataCentrePrices);
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/Pool.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/Pool.java
@@ -6,16 +6,12 @@
  * A named set of backend servers that serve the same requests.
  *
  * @param name The name of the pool.
- * @param engine The limits of its engines; empty for a plain service.
- * @param fleet How backend servers may be ordered; empty if they can't be.
+ * @param engine The capacity of its engines; empty for a plain service.
+ * @param fleet The limits for orders of backend servers; empty if none can be ordered.
  */
 public record Pool(String name, Optional<EngineLimits> engine, Optional<FleetLimits> fleet) {
 
-    /**
-     * Returns the memory of one of its engines.
-     *
-     * @return The memory in tokens, or 0 for a plain service.
-     */
+    /** Returns the size of each engine's KV cache in tokens; 0 for a plain service. */
     public long memoryTokens() {
         return engine.map(EngineLimits::memoryTokens).orElse(0L);
     }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/ProxyConfiguration.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/ProxyConfiguration.java
@@ -6,44 +6,28 @@
 import java.util.Map;
 import java.util.Optional;
 
-/**
- * One version of the configuration, with its routes indexed by host and path prefix.
- *
- * <p>Immutable and safe for use by several threads.
- */
+/** One version of the configuration, with routes indexed by host and path prefix. Immutable and thread-safe. */
 public final class ProxyConfiguration {
 
-    /** The separator of path segments, which ends each prefix. */
+    /** The separator of path segments; every path prefix ends with it. */
     private static final char SLASH = '/';
 
-    /** The version. */
     private final long version;
 
-    /** The routes by host, each by its prefix. */
+    /** By host and path prefix. */
     private final Map<String, Map<String, Route>> routes;
 
-    /** The pools by name. */
     private final Map<String, Pool> pools;
 
-    /** The limits for callers. */
     private final CallerLimits limits;
 
     /** The owners by key. */
     private final Map<String, KeyOwner> keys;
 
-    /** Whether there are customers, so that routes that aren't open need a key. */
+    /** Whether the configuration has customers, so that all routes but open ones require a key. */
     private final boolean keysRequired;
 
-    /**
-     * Creates a configuration.
-     *
-     * @param version The version.
-     * @param routes The routes.
-     * @param pools The pools by name.
-     * @param limits The limits for callers.
-     * @param keys The owners by key.
-     * @param keysRequired Whether there are customers, so that routes that aren't open need a key.
-     */
+    /** @param keysRequired Whether the configuration has customers, so that all routes but open ones require a key. */
     public ProxyConfiguration(
             long version,
             List<Route> routes,
@@ -62,39 +46,23 @@
         this.keysRequired = keysRequired;
     }
 
-    /**
-     * Returns the version.
-     *
-     * @return The version.
-     */
     public long version() {
         return version;
     }
 
-    /**
-     * Returns the limits for callers.
-     *
-     * @return The limits.
-     */
     public CallerLimits limits() {
         return limits;
     }
 
-    /**
-     * Returns the pools.
-     *
-     * @return The pools by name.
-     */
     public Map<String, Pool> pools() {
         return pools;
     }
 
     /**
-     * Finds the route with the longest prefix of a path.
+     * Returns the route with the longest matching path prefix, or empty if none matches.
      *
-     * @param hostHeader The host that the caller asks for, with or without a port.
-     * @param path The path without its query.
-     * @return The route, or nothing if none matches.
+     * @param hostHeader The value of the Host header, with or without a port.
+     * @param path The path without the query.
      */
     public Optional<Route> route(String hostHeader, String path) {
         Map<String, Route> byPrefix = routes.get(hostName(hostHeader));
@@ -110,32 +78,16 @@
         return Optional.empty();
     }
 
-    /**
-     * Tells whether a route needs a key.
-     *
-     * @param route The route.
-     * @return Whether a key is needed.
-     */
     public boolean needsKey(Route route) {
         return keysRequired && !route.open();
     }
 
-    /**
-     * Finds the owner of a key.
-     *
-     * @param key The key.
-     * @return The owner, or nothing if no customer holds the key.
-     */
+    /** Returns the owner of a key, or empty if the key is unknown. */
     public Optional<KeyOwner> owner(String key) {
         return Optional.ofNullable(keys.get(key));
     }
 
-    /**
-     * Returns the name in a host header.
-     *
-     * @param hostHeader The header's value.
-     * @return The name without a port, in lower case.
-     */
+    /** Returns the host name of a Host header in lower case, without the port. */
     private static String hostName(String hostHeader) {
         int colon = hostHeader.indexOf(':');
         String name = colon < 0 ? hostHeader : hostHeader.substring(0, colon);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/Route.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/Route.java
@@ -3,18 +3,17 @@
 import java.util.List;
 
 /**
- * Where requests of one host and path prefix go.
+ * The requests of one host and path prefix, and the pools that serve them. Immutable.
  *
  * @param name The name of the route.
- * @param host The host name that callers ask for, in lower case.
+ * @param host The host name in lower case.
  * @param pathPrefix The start of the path, with a slash at both ends.
- * @param kind The kind of request.
- * @param timeoutMillis The longest time that a caller is kept waiting, in milliseconds.
- * @param targetMillis The time within which an answer is on time, in milliseconds.
- * @param priority The rank of the route; 0 is the most urgent.
+ * @param timeoutMillis The maximum time until the final response, in milliseconds.
+ * @param targetMillis The target latency in milliseconds.
+ * @param priority The priority; 0 is the most urgent.
  * @param pools The pools that share the requests; at least one.
- * @param maximumAttempts The highest number of backend servers that one request may be sent to.
- * @param open Whether requests need no key.
+ * @param maximumAttempts The maximum number of backend servers to which one request is sent.
+ * @param open Whether requests require no key.
  */
 public record Route(
         String name,
@@ -28,16 +27,14 @@
         int maximumAttempts,
         boolean open) {
 
-    /** Copies the list. */
     public Route {
         pools = List.copyOf(pools);
     }
 
     /**
-     * Returns the pool that takes a request.
+     * Returns the name of the pool that serves a request.
      *
-     * @param requestHash A hash of the request, which spreads requests over the pools by weight.
-     * @return The name of the pool.
+     * @param requestHash A hash of the request, which distributes requests over the pools by weight.
      */
     public String poolFor(int requestHash) {
         if (pools.size() == 1) {
@@ -45,10 +42,10 @@
         }
         int total = pools.stream().mapToInt(WeightedPool::weight).sum();
         int remainder = total == 0 ? 0 : Math.floorMod(requestHash, total);
-        for (WeightedPool part : pools) {
-            remainder -= part.weight();
+        for (WeightedPool weighted : pools) {
+            remainder -= weighted.weight();
             if (remainder < 0) {
-                return part.pool();
+                return weighted.pool();
             }
         }
         return pools.get(0).pool();
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/WeightedPool.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/WeightedPool.java
@@ -1,9 +1,9 @@
 package org.cranberrygauge.proxy.configuration;
 
 /**
- * A pool that takes a share of a route's requests.
+ * A pool with its weight among the pools of a route.
  *
  * @param pool The name of the pool.
- * @param weight The weight against the other pools of the route.
+ * @param weight The weight; 0 excludes the pool.
  */
 public record WeightedPool(String pool, int weight) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configure: routes, pools of backend servers, customers and limits for callers. */
+/** The operator's configuration: routes, pools of backend servers, customers and limits for callers. */
 package org.cranberrygauge.proxy.configuration;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
@@ -73,23 +73,23 @@
 
     @Override
     public void onSnapshot(Map<String, byte[]> values) {
-        registry.reached(context.time().monotonicMillis());
+        registry.recordRead(context.time().monotonicMillis());
         Map<String, Backend> listed = new HashMap<>();
         values.forEach((key, value) -> {
             try {
                 listed.put(key, reader.read(key, value));
             } catch (UnreadableRecordException exception) {
-                registry.drop(key);
+                registry.discard(key);
                 logUnreadable(key, exception);
             }
         });
-        registry.replaceAll(context.time().monotonicMillis(), listed);
+        registry.replaceEntries(context.time().monotonicMillis(), listed);
     }
 
     @Override
     public void onRecord(KeyedRecord record, long offset) {
         long now = context.time().monotonicMillis();
-        registry.reached(now);
+        registry.recordRead(now);
         if (record.value().isEmpty()) {
             registry.remove(now, record.key());
             return;
@@ -97,7 +97,7 @@
         try {
             registry.put(reader.read(record.key(), record.value().get()));
         } catch (UnreadableRecordException exception) {
-            registry.drop(record.key());
+            registry.discard(record.key());
             logUnreadable(record.key(), exception);
         }
     }
@@ -105,7 +105,7 @@
     @Override
     public void onConfirmed(Confirmation read) {
         long now = context.time().monotonicMillis();
-        registry.reached(now);
+        registry.recordRead(now);
         publish(now);
     }
 
@@ -116,10 +116,10 @@
 
     /** Publishes the snapshot and logs the changes. */
     private void publish(long now) {
-        BackendSnapshot catalogue = registry.catalogue(now);
-        context.state().publish(catalogue);
+        BackendSnapshot snapshot = registry.snapshot(now);
+        context.state().publish(snapshot);
         Map<String, Backend> present = new HashMap<>();
-        for (Backend backend : catalogue.all()) {
+        for (Backend backend : snapshot.all()) {
             present.put(backend.id(), backend);
             if (!backend.equals(lastLogged.get(backend.id()))) {
                 context.events()
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendAttempt.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/BackendAttempt.java
@@ -162,13 +162,13 @@
             if (ended) {
                 return;
             }
-            Buffer events = splitter.take(bytes);
+            Buffer events = splitter.append(bytes);
             if (events.length() > 0) {
                 listener.onEvents(backendResponse.statusCode(), backendResponse.headers(), events, splitter.lastId());
             }
         });
         backendResponse.endHandler(end -> {
-            if (splitter.midEvent()) {
+            if (splitter.hasPartialEvent()) {
                 failBroken("stream ended within an event");
                 return;
             }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyState.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyState.java
@@ -41,8 +41,8 @@
         return backends.get();
     }
 
-    public void publish(BackendSnapshot catalogue) {
-        backends.set(catalogue);
+    public void publish(BackendSnapshot snapshot) {
+        backends.set(snapshot);
     }
 
     public PeerLoads peers() {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** Routes requests with opaque bodies to pools of backend servers by host and path. */
+/** A proxy that routes requests with opaque bodies by host and path to pools of backend servers. */
 package org.cranberrygauge.proxy;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/LoadTable.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/routing/LoadTable.java
@@ -28,8 +28,8 @@
     }
 
     /** Removes the entries of backend servers that are idle and no longer listed. */
-    public void removeUnlisted(BackendSnapshot catalogue) {
-        loads.entrySet().removeIf(entry -> entry.getValue().work().running() == 0 && !catalogue.lists(entry.getKey()));
+    public void removeUnlisted(BackendSnapshot snapshot) {
+        loads.entrySet().removeIf(entry -> entry.getValue().work().running() == 0 && !snapshot.lists(entry.getKey()));
     }
 
     /** Returns the work of this host by incarnation, for backend servers that have any. */
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/stream/EventSplitter.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/stream/EventSplitter.java
@@ -5,66 +5,47 @@
 import java.util.Optional;
 
 /**
- * Cuts the bytes of an event stream after whole events.
+ * Splits the bytes of an event stream at event boundaries.
  *
- * <p>Invariant: the bytes returned are those taken, in order, and end with an empty line; what follows the last whole event
- * is kept back. Used by one thread.
+ * <p>Invariant: the returned bytes are the appended ones in order, and end with an empty line; the bytes after the last
+ * complete event are retained. Not thread-safe.
  */
 public final class EventSplitter {
 
-    /** The start of the line that holds an event's identifier. */
+    /** The prefix of the line with an event's identifier. */
     private static final String ID_FIELD = "id:";
 
-    /** The bytes after the last whole event. */
-    private Buffer rest = Buffer.buffer();
+    /** The bytes after the last complete event. */
+    private Buffer partialEvent = Buffer.buffer();
 
-    /** The identifier of the last whole event. */
     private Optional<String> lastId = Optional.empty();
 
-    /**
-     * Takes bytes.
-     *
-     * @param bytes The bytes.
-     * @return The whole events that can be passed on; may be empty.
-     */
-    public Buffer take(Buffer bytes) {
-        Buffer joined = rest.length() == 0 ? bytes : rest.appendBuffer(bytes);
-        int end = endOfLastEvent(joined);
+    /** Appends bytes and returns the complete events that can be forwarded; empty if there are none. */
+    public Buffer append(Buffer bytes) {
+        Buffer joined = partialEvent.length() == 0 ? bytes : partialEvent.appendBuffer(bytes);
+        int end = endOfLastCompleteEvent(joined);
         if (end == 0) {
-            rest = joined == bytes ? bytes.copy() : joined;
+            partialEvent = joined == bytes ? bytes.copy() : joined;
             return Buffer.buffer();
         }
-        Buffer whole = joined.getBuffer(0, end);
-        rest = joined.getBuffer(end, joined.length());
-        readLastId(whole);
-        return whole;
+        Buffer completeEvents = joined.getBuffer(0, end);
+        partialEvent = joined.getBuffer(end, joined.length());
+        readLastId(completeEvents);
+        return completeEvents;
     }
 
-    /**
-     * Returns the identifier of the last whole event.
-     *
-     * @return The identifier, or nothing if no event had one.
-     */
+    /** Returns the identifier of the last complete event that has one, or empty if there was none. */
     public Optional<String> lastId() {
         return lastId;
     }
 
-    /**
-     * Tells whether a part of an event is kept back.
-     *
-     * @return Whether bytes are kept back.
-     */
-    public boolean midEvent() {
-        return rest.length() > 0;
+    /** Tells whether a part of an event is retained. */
+    public boolean hasPartialEvent() {
+        return partialEvent.length() > 0;
     }
 
-    /**
-     * Finds the end of the last whole event.
-     *
-     * @param bytes The bytes.
-     * @return The index after its empty line, or 0 if there is no whole event.
-     */
-    private static int endOfLastEvent(Buffer bytes) {
+    /** Returns the index after the empty line of the last complete event, or 0 if there is none. */
+    private static int endOfLastCompleteEvent(Buffer bytes) {
         for (int index = bytes.length() - 1; index > 0; index--) {
             if (bytes.getByte(index) != '\n') {
                 continue;
@@ -80,17 +61,13 @@
         return 0;
     }
 
-    /**
-     * Reads the identifier of the last event.
-     *
-     * @param whole Whole events.
-     */
-    private void readLastId(Buffer whole) {
-        String text = whole.toString(StandardCharsets.ISO_8859_1);
+    /** Updates the last identifier. */
+    private void readLastId(Buffer completeEvents) {
+        String text = completeEvents.toString(StandardCharsets.ISO_8859_1);
         int start = text.startsWith(ID_FIELD) ? 0 : -1;
-        int later = text.lastIndexOf("\n" + ID_FIELD);
-        if (later >= 0) {
-            start = later + 1;
+        int lastLine = text.lastIndexOf("\n" + ID_FIELD);
+        if (lastLine >= 0) {
+            start = lastLine + 1;
         }
         if (start < 0) {
             return;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/stream/package-info.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Streams of events as they pass through. */
+/** Processing of event streams that are forwarded. */
 package org.cranberrygauge.proxy.stream;
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/DrainWaitTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/DrainWaitTest.java
@@ -9,7 +9,7 @@
     private final DrainWait wait = new DrainWait(1_000, 8_000);
 
     @Test
-    void staysUntilTheBalancerHasNoticed() {
+    void staysUntilTheLoadBalancerHasNoticed() {
         assertThat(wait.isOver(4_199, 0)).isFalse();
         assertThat(wait.isOver(4_200, 0)).isTrue();
     }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/ProxyFixtures.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/ProxyFixtures.java
@@ -66,7 +66,7 @@
                 true);
     }
 
-    public static Prompt study(String document) {
+    public static Prompt longPrompt(String document) {
         return new Prompt(
                 17_000,
                 120,
@@ -75,7 +75,7 @@
                         new PromptPart("own-" + System.identityHashCode(document), 3_700)));
     }
 
-    public static Prompt chat(String session) {
+    public static Prompt shortPrompt(String session) {
         return new Prompt(
                 1_400,
                 170,
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/backend/BackendRegistryTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/backend/BackendRegistryTest.java
@@ -9,75 +9,75 @@
 
 class BackendRegistryTest {
 
-    private final BackendRegistry register = new BackendRegistry();
+    private final BackendRegistry registry = new BackendRegistry();
 
     private final Backend first = ProxyFixtures.backend("first");
 
     @Test
-    void aRemovedEntryIsGoneAtOnceInCalmTimes() {
-        register.reached(1_000);
-        register.put(first);
-        register.reached(1_500);
-        register.remove(1_500, "first");
-        assertThat(register.catalogue(1_500).all()).isEmpty();
+    void aRemovedEntryIsGoneAtOnceInNormalOperation() {
+        registry.recordRead(1_000);
+        registry.put(first);
+        registry.recordRead(1_500);
+        registry.remove(1_500, "first");
+        assertThat(registry.snapshot(1_500).all()).isEmpty();
     }
 
     @Test
-    void anEntryThatLapsedInAnOutageStaysForTheTimeOfRegistration() {
-        register.reached(1_000);
-        register.put(first);
-        register.reached(6_000);
-        register.remove(6_000, "first");
-        assertThat(register.catalogue(7_999).ready("engines")).containsExactly(first);
-        assertThat(register.catalogue(8_000).all()).isEmpty();
+    void anEntryThatExpiredInAnOutageIsRetainedForTheRegistrationTime() {
+        registry.recordRead(1_000);
+        registry.put(first);
+        registry.recordRead(6_000);
+        registry.remove(6_000, "first");
+        assertThat(registry.snapshot(7_999).ready("engines")).containsExactly(first);
+        assertThat(registry.snapshot(8_000).all()).isEmpty();
     }
 
     @Test
-    void anEntryThatComesBackAfterAnOutageHolds() {
-        register.reached(1_000);
-        register.put(first);
-        register.reached(6_000);
-        register.remove(6_000, "first");
-        register.put(first);
-        assertThat(register.catalogue(9_000).ready("engines")).containsExactly(first);
+    void anEntryThatIsRegisteredAgainAfterAnOutageStays() {
+        registry.recordRead(1_000);
+        registry.put(first);
+        registry.recordRead(6_000);
+        registry.remove(6_000, "first");
+        registry.put(first);
+        assertThat(registry.snapshot(9_000).ready("engines")).containsExactly(first);
     }
 
     @Test
-    void anEntryMissingFromAWholeListAfterAnOutageIsTreatedAlike() {
-        register.reached(1_000);
-        register.put(first);
-        register.reached(6_000);
-        register.replaceAll(6_000, Map.of());
-        assertThat(register.catalogue(7_000).all()).containsExactly(first);
-        assertThat(register.catalogue(8_000).all()).isEmpty();
+    void anEntryMissingFromTheFirstListAfterAnOutageIsRetainedForTheRegistrationTime() {
+        registry.recordRead(1_000);
+        registry.put(first);
+        registry.recordRead(6_000);
+        registry.replaceEntries(6_000, Map.of());
+        assertThat(registry.snapshot(7_000).all()).containsExactly(first);
+        assertThat(registry.snapshot(8_000).all()).isEmpty();
     }
 
     @Test
-    void aLeavingBackendServerGetsNoNewWorkAndIsNotKeptAfterAnOutage() {
+    void aDrainingBackendServerGetsNoNewRequestsAndIsNotRetainedAfterAnOutage() {
         Backend leaving = ProxyFixtures.backend("first", "engines", "east-a", true, Supply.REGULAR);
-        register.reached(1_000);
-        register.put(leaving);
-        assertThat(register.catalogue(1_000).ready("engines")).isEmpty();
-        assertThat(register.catalogue(1_000).lists(leaving.incarnation())).isTrue();
-        register.reached(6_000);
-        register.remove(6_000, "first");
-        assertThat(register.catalogue(6_000).all()).isEmpty();
+        registry.recordRead(1_000);
+        registry.put(leaving);
+        assertThat(registry.snapshot(1_000).ready("engines")).isEmpty();
+        assertThat(registry.snapshot(1_000).lists(leaving.incarnation())).isTrue();
+        registry.recordRead(6_000);
+        registry.remove(6_000, "first");
+        assertThat(registry.snapshot(6_000).all()).isEmpty();
     }
 
     @Test
-    void anUnreadableEntryNamesNoBackendServerAndTheOthersHold() {
+    void aDiscardedEntryDoesNotAffectTheOthers() {
         Backend second = ProxyFixtures.backend("second");
-        register.reached(1_000);
-        register.put(first);
-        register.put(second);
-        register.drop("first");
-        assertThat(register.catalogue(1_000).all()).containsExactly(second);
+        registry.recordRead(1_000);
+        registry.put(first);
+        registry.put(second);
+        registry.discard("first");
+        assertThat(registry.snapshot(1_000).all()).containsExactly(second);
     }
 
     @Test
     void theListIsUnknownBeforeTheFirstRead() {
-        assertThat(register.catalogue(0).known()).isFalse();
-        register.reached(1);
-        assertThat(register.catalogue(1).known()).isTrue();
+        assertThat(registry.snapshot(0).known()).isFalse();
+        registry.recordRead(1);
+        assertThat(registry.snapshot(1).known()).isTrue();
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/configuration/ConfigurationViewTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/configuration/ConfigurationViewTest.java
@@ -15,7 +15,7 @@
             new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(10_000, WALL));
 
     @Test
-    void isFreshUpToTheHighestAge() {
+    void isFreshBelowTheMaximumAge() {
         assertThat(view.isFresh(14_999, WALL + 4_999, 5_000)).isTrue();
         assertThat(view.isFresh(15_000, WALL + 5_000, 5_000)).isFalse();
     }
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void staysFreshWhenTheTimeOfDayIsSetBack() {
+    void staysFreshWhenTheWallClockIsSetBack() {
         assertThat(view.isFresh(10_100, WALL - 2_000, 5_000)).isTrue();
     }
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/configuration/ProxyConfigurationTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/configuration/ProxyConfigurationTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aPrefixEndsAtASlash() {
+    void aPrefixMatchesOnlyWholeSegments() {
         assertThat(configuration.route("api.example", "/a")).isEmpty();
         assertThat(configuration.route("api.example", "/ab/c")).isEmpty();
     }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendChooserTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendChooserTest.java
@@ -31,7 +31,7 @@
     void hostsSendADocumentToTheSameEngineWithoutCoordination() {
         BackendChooser other = new BackendChooser("east-a", new LoadTable(), new SplittableRandom(2));
         for (int document = 0; document < 30; document++) {
-            Prompt prompt = ProxyFixtures.study("document-" + document);
+            Prompt prompt = ProxyFixtures.longPrompt("document-" + document);
             assertThat(choose(chooser, prompt, PeerLoads.NO_PEERS).backend())
                     .isEqualTo(choose(other, prompt, PeerLoads.NO_PEERS).backend());
         }
@@ -39,7 +39,7 @@
 
     @Test
     void aDocumentStaysWhereItIsCachedWhileThatEngineIsModeratelyLoaded() {
-        Prompt prompt = ProxyFixtures.study("document");
+        Prompt prompt = ProxyFixtures.longPrompt("document");
         Backend preferred = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
         PeerLoads busy = new PeerLoads(Map.of(preferred.incarnation(), new Work(6, 10_000, 20_000, 0)), 4);
         loads.of(preferred.incarnation(), MEMORY).place(prompt).end();
@@ -48,7 +48,7 @@
 
     @Test
     void aDocumentSpreadsOnceItsEngineIsOverloaded() {
-        Prompt prompt = ProxyFixtures.study("document");
+        Prompt prompt = ProxyFixtures.longPrompt("document");
         Backend preferred = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
         loads.of(preferred.incarnation(), MEMORY).place(prompt).end();
         PeerLoads overloaded = new PeerLoads(Map.of(preferred.incarnation(), new Work(40, 200_000, 400_000, 0)), 4);
@@ -57,7 +57,7 @@
 
     @Test
     void aPartThatAnotherHostSentCountsAsCached() {
-        Prompt prompt = ProxyFixtures.study("document");
+        Prompt prompt = ProxyFixtures.longPrompt("document");
         Backend other = EnginePartition.split(engines).longPrompts().stream()
                 .filter(engine -> !engine.equals(
                         choose(chooser, prompt, PeerLoads.NO_PEERS).backend()))
@@ -77,7 +77,7 @@
         PeerLoads peers = new PeerLoads(work, 4);
         for (int session = 0; session < 20; session++) {
             assertThat(partition.shortPrompts())
-                    .contains(choose(chooser, ProxyFixtures.chat("session-" + session), peers)
+                    .contains(choose(chooser, ProxyFixtures.shortPrompt("session-" + session), peers)
                             .backend());
         }
     }
@@ -87,17 +87,17 @@
         EnginePartition partition = EnginePartition.split(engines);
         for (int number = 0; number < 40; number++) {
             assertThat(partition.longPrompts())
-                    .contains(choose(chooser, ProxyFixtures.study("document-" + number), PeerLoads.NO_PEERS)
+                    .contains(choose(chooser, ProxyFixtures.longPrompt("document-" + number), PeerLoads.NO_PEERS)
                             .backend());
             assertThat(partition.shortPrompts())
-                    .contains(choose(chooser, ProxyFixtures.chat("session-" + number), PeerLoads.NO_PEERS)
+                    .contains(choose(chooser, ProxyFixtures.shortPrompt("session-" + number), PeerLoads.NO_PEERS)
                             .backend());
         }
     }
 
     @Test
     void aDocumentInHighDemandSpreadsOverFewEngines() {
-        Prompt prompt = ProxyFixtures.study("document");
+        Prompt prompt = ProxyFixtures.longPrompt("document");
         Set<Backend> used = new HashSet<>();
         for (int number = 0; number < 40; number++) {
             Backend chosen = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
@@ -124,7 +124,7 @@
                                     ProxyFixtures.ENGINES,
                                     many,
                                     Set.of(),
-                                    ProxyFixtures.chat("session-" + host),
+                                    ProxyFixtures.shortPrompt("session-" + host),
                                     peers)
                             .orElseThrow()
                             .backend(),
@@ -139,18 +139,18 @@
         Map<String, Work> work = new HashMap<>();
         engines.forEach(engine -> work.put(engine.incarnation(), new Work(10, 40_000, 89_000, 0)));
         PeerLoads full = new PeerLoads(work, 4);
-        assertThat(choose(chooser, ProxyFixtures.study("document"), full).saturated())
+        assertThat(choose(chooser, ProxyFixtures.longPrompt("document"), full).saturated())
                 .isTrue();
-        assertThat(choose(chooser, ProxyFixtures.chat("session"), full).saturated())
+        assertThat(choose(chooser, ProxyFixtures.shortPrompt("session"), full).saturated())
                 .isFalse();
-        assertThat(choose(chooser, ProxyFixtures.study("document"), PeerLoads.NO_PEERS)
+        assertThat(choose(chooser, ProxyFixtures.longPrompt("document"), PeerLoads.NO_PEERS)
                         .saturated())
                 .isFalse();
     }
 
     @Test
     void anEngineInCooldownIsUsedOnlyIfThereIsNoOther() {
-        Prompt prompt = ProxyFixtures.study("document");
+        Prompt prompt = ProxyFixtures.longPrompt("document");
         Backend preferred = choose(chooser, prompt, PeerLoads.NO_PEERS).backend();
         loads.of(preferred.incarnation(), MEMORY).recordFailure(1_000, true);
         assertThat(choose(chooser, prompt, PeerLoads.NO_PEERS).backend()).isNotEqualTo(preferred);
@@ -165,14 +165,24 @@
         Set<String> tried = new HashSet<>();
         for (int round = 0; round < engines.size(); round++) {
             tried.add(chooser.choose(
-                            1_000, ProxyFixtures.ENGINES, engines, tried, ProxyFixtures.chat("s"), PeerLoads.NO_PEERS)
+                            1_000,
+                            ProxyFixtures.ENGINES,
+                            engines,
+                            tried,
+                            ProxyFixtures.shortPrompt("s"),
+                            PeerLoads.NO_PEERS)
                     .orElseThrow()
                     .backend()
                     .incarnation());
         }
         assertThat(tried).hasSize(engines.size());
         assertThat(chooser.choose(
-                        1_000, ProxyFixtures.ENGINES, engines, tried, ProxyFixtures.chat("s"), PeerLoads.NO_PEERS))
+                        1_000,
+                        ProxyFixtures.ENGINES,
+                        engines,
+                        tried,
+                        ProxyFixtures.shortPrompt("s"),
+                        PeerLoads.NO_PEERS))
                 .isEmpty();
     }
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendLoadTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/BackendLoadTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void releasesTheLoadOfARequestExactlyOnce() {
-        Placement placement = load.place(ProxyFixtures.study("d"));
+        Placement placement = load.place(ProxyFixtures.longPrompt("d"));
         assertThat(load.work()).isEqualTo(new Work(1, 17_000, 17_120, 0));
         placement.started();
         placement.started();
@@ -38,8 +38,10 @@
         for (int document = 0; document < 6; document++) {
             load.addCachedPart(new PromptPart("document-" + document, 13_300));
         }
-        assertThat(load.uncachedSharedTokens(ProxyFixtures.study("document-0"))).isEqualTo(13_300);
-        assertThat(load.uncachedSharedTokens(ProxyFixtures.study("document-5"))).isZero();
+        assertThat(load.uncachedSharedTokens(ProxyFixtures.longPrompt("document-0")))
+                .isEqualTo(13_300);
+        assertThat(load.uncachedSharedTokens(ProxyFixtures.longPrompt("document-5")))
+                .isZero();
     }
 
     @Test
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/EnginePartitionTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/EnginePartitionTest.java
@@ -45,8 +45,8 @@
 
     @Test
     void classifiesPromptsByLength() {
-        assertThat(EnginePartition.isShort(ProxyFixtures.chat("s"))).isTrue();
-        assertThat(EnginePartition.isShort(ProxyFixtures.study("d"))).isFalse();
+        assertThat(EnginePartition.isShort(ProxyFixtures.shortPrompt("s"))).isTrue();
+        assertThat(EnginePartition.isShort(ProxyFixtures.longPrompt("d"))).isFalse();
     }
 
     private static List<Backend> engines(int number) {
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/PlacementExchangeTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/routing/PlacementExchangeTest.java
@@ -11,8 +11,8 @@
 
     @Test
     void reportsLongSharedPartsForALimitedTime() {
-        exchange.record(1_000, "engine/1", ProxyFixtures.study("document"));
-        exchange.record(1_000, "engine/1", ProxyFixtures.chat("session"));
+        exchange.record(1_000, "engine/1", ProxyFixtures.longPrompt("document"));
+        exchange.record(1_000, "engine/1", ProxyFixtures.shortPrompt("session"));
         assertThat(exchange.recent(1_600))
                 .containsExactly(new PlacedPart("engine/1", new PromptPart("document", 13_300)));
         assertThat(exchange.recent(1_601)).isEmpty();
@@ -25,7 +25,7 @@
         exchange.receive(new PlacedPart("engine/1", new PromptPart("document", 13_300)));
         exchange.receive(new PlacedPart("unknown/1", new PromptPart("document", 13_300)));
         exchange.applyTo(loads);
-        assertThat(loads.of("engine/1", 500_000).uncachedSharedTokens(ProxyFixtures.study("document")))
+        assertThat(loads.of("engine/1", 500_000).uncachedSharedTokens(ProxyFixtures.longPrompt("document")))
                 .isZero();
     }
 }
