--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/LeaderElection.java
@@ -85,9 +85,9 @@
         long sentWallMillis = context.time().wallMillis();
         context.log()
                 .join(GROUP, member, GROUP, lifetimeMillis, lease.generation())
-                .onSuccess(share -> {
+                .onSuccess(assignment -> {
                     monitor.recordSuccess(context.time().monotonicMillis());
-                    lease.recordJoin(sentMillis, sentWallMillis, share);
+                    lease.recordJoin(sentMillis, sentWallMillis, assignment);
                 })
                 .onFailure(failure ->
                         monitor.recordFailure(context.time().monotonicMillis(), String.valueOf(failure.getMessage())))
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/LeaderLease.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/leader/LeaderLease.java
@@ -55,12 +55,12 @@
      * @param sentMillis The monotonic time at which it was sent, in milliseconds.
      * @param sentWallMillis The wall-clock time at which it was sent, in milliseconds since the epoch.
      */
-    public void recordJoin(long sentMillis, long sentWallMillis, GroupAssignment share) {
-        if (leading && (!share.holdsFirst() || !isValid(sentMillis, sentWallMillis))) {
+    public void recordJoin(long sentMillis, long sentWallMillis, GroupAssignment assignment) {
+        if (leading && (!assignment.holdsFirst() || !isValid(sentMillis, sentWallMillis))) {
             previousTermActionMillis = lastActionMillis;
         }
-        leading = share.holdsFirst();
-        generation = share.generation();
+        leading = assignment.holdsFirst();
+        generation = assignment.generation();
         lastJoin = new Confirmation(sentMillis, sentWallMillis);
     }
 
