--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/AcceptanceCriteria.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/AcceptanceCriteria.java
@@ -5,23 +5,17 @@
 import org.cranberrygauge.emulator.replay.TraceProfile;
 
 /**
- * What our policy must reach on a profile, stated before the first run.
+ * The acceptance criteria of our policy for a trace profile, fixed before the first run.
  *
- * @param highTier The least attainment of the highest chat tier.
- * @param worstCustomer The least attainment of the worst-served customer.
- * @param wasted The largest share of generated tokens that are in no whole answer.
+ * @param highTier The minimum attainment of the highest chat tier.
+ * @param worstCustomer The minimum attainment of the worst-served customer.
+ * @param wasted The maximum share of generated tokens that belong to no complete answer.
  */
 record AcceptanceCriteria(double highTier, double worstCustomer, double wasted) {
 
-    /** The longest wait of a class without a start relative to its bound. */
+    /** The longest wait of a class without a start, as a multiple of its target for the first token. */
     private static final double STARVATION_LIMIT = 1.5;
 
-    /**
-     * Returns the stated outcome of a profile.
-     *
-     * @param profile The profile.
-     * @return The outcome.
-     */
     static AcceptanceCriteria of(TraceProfile profile) {
         return switch (profile) {
             case QUIET -> new AcceptanceCriteria(0.99, 0.97, 0.001);
@@ -41,40 +35,34 @@
         };
     }
 
-    /**
-     * Compares a result with the stated outcome and with what holds for every profile.
-     *
-     * @param result The result.
-     * @param highTierClass The highest chat tier.
-     * @return What does not hold.
-     */
-    List<String> misses(ReplayResult result, String highTierClass) {
-        List<String> misses = new ArrayList<>();
+    /** Returns a description of each criterion that a result misses, including those common to all profiles. */
+    List<String> unmetCriteria(ReplayResult result, String highTierClass) {
+        List<String> unmetCriteria = new ArrayList<>();
         double attained = result.attainment().getOrDefault(highTierClass, 0.0);
         if (attained < highTier) {
-            misses.add("%s %.3f < %.3f".formatted(highTierClass, attained, highTier));
+            unmetCriteria.add("%s %.3f < %.3f".formatted(highTierClass, attained, highTier));
         }
         if (result.worstCustomerAttainment() < worstCustomer) {
-            misses.add("worst customer %.3f < %.3f".formatted(result.worstCustomerAttainment(), worstCustomer));
+            unmetCriteria.add("worst customer %.3f < %.3f".formatted(result.worstCustomerAttainment(), worstCustomer));
         }
         if (result.wastedShare() > wasted) {
-            misses.add("wasted %.3f > %.3f".formatted(result.wastedShare(), wasted));
+            unmetCriteria.add("wasted %.3f > %.3f".formatted(result.wastedShare(), wasted));
         }
-        if (result.shedWhileLowerRan() > 0) {
-            misses.add(result.shedWhileLowerRan() + " shed while a lower tier ran");
+        if (result.shedWhileLowerTierRan() > 0) {
+            unmetCriteria.add(result.shedWhileLowerTierRan() + " shed while a lower tier ran");
         }
-        if (result.preemptedForNothing() > 0) {
-            misses.add(result.preemptedForNothing() + " preempted for nothing");
+        if (result.needlessPreemptions() > 0) {
+            unmetCriteria.add(result.needlessPreemptions() + " preempted without a higher tier waiting");
         }
-        if (result.heldAfterDeadline() > 0) {
-            misses.add(result.heldAfterDeadline() + " held after the deadline");
+        if (result.refusedAfterDeadline() > 0) {
+            unmetCriteria.add(result.refusedAfterDeadline() + " refused late after their deadline");
         }
         if (result.worstStarvation() > STARVATION_LIMIT) {
-            misses.add("starved for %.2f of the bound".formatted(result.worstStarvation()));
+            unmetCriteria.add("a class starved for %.2f times its target".formatted(result.worstStarvation()));
         }
         if (result.retried() > result.retryLimit()) {
-            misses.add("retries %d > %d".formatted(result.retried(), result.retryLimit()));
+            unmetCriteria.add("retries %d > %d".formatted(result.retried(), result.retryLimit()));
         }
-        return misses;
+        return unmetCriteria;
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
@@ -1,54 +1,37 @@
 package org.cranberrygauge.verification.policy;
 
 /**
- * One attempt of a request at an engine in memory.
+ * One attempt of a request on a {@link SimulatedEngine}.
  *
- * <p>Invariants: tells its gateway of one end at most. Used by one thread.
+ * <p>Invariants: its gateway is notified of at most one end. Not thread-safe.
  */
 final class EngineAttempt {
 
-    /** The request. */
     private final ReplayedRequest request;
 
-    /** The engine. */
     private final SimulatedEngine engine;
 
-    /** The gateway. */
     private final ReplayGateway gateway;
 
-    /** The number of the request in its gateway. */
     private final long requestId;
 
-    /** The position among all attempts. */
+    /** The position among all attempts of the simulation. */
     private final long number;
 
-    /** The tokens that were delivered before. */
+    /** The output tokens that earlier attempts of the request delivered. */
     private final int deliveredBefore;
 
-    /** The time at which the gateway started it in milliseconds. */
     private long startedAtMillis;
 
-    /** Whether it started because its class was owed a start. */
+    /** Whether it started before higher tiers because its class was owed a start. */
     private boolean owed;
 
-    /** The time of the first token in milliseconds. */
     private double firstTokenAtMillis;
 
-    /** The time of the last token in milliseconds. */
     private double lastTokenAtMillis;
 
-    /** Whether it ended. */
     private boolean closed;
 
-    /**
-     * Creates an attempt.
-     *
-     * @param gateway The gateway.
-     * @param engine The engine.
-     * @param request The request.
-     * @param requestId The number of the request in its gateway.
-     * @param number The position among all attempts.
-     */
     EngineAttempt(ReplayGateway gateway, SimulatedEngine engine, ReplayedRequest request, long requestId, long number) {
         this.gateway = gateway;
         this.engine = engine;
@@ -58,157 +41,86 @@
         this.deliveredBefore = request.delivered;
     }
 
-    /**
-     * Notes its start.
-     *
-     * @param nowMillis The time at which the gateway started it in milliseconds.
-     * @param wasOwed Whether it started because its class was owed a start.
-     */
-    void startedAt(long nowMillis, boolean wasOwed) {
+    void markStarted(long nowMillis, boolean wasOwed) {
         startedAtMillis = nowMillis;
         owed = wasOwed;
     }
 
-    /**
-     * Returns the time at which the gateway started it.
-     *
-     * @return The time in milliseconds.
-     */
     long startedAtMillis() {
         return startedAtMillis;
     }
 
-    /**
-     * Tells whether it started because its class was owed a start.
-     *
-     * @return Whether it did.
-     */
     boolean isOwed() {
         return owed;
     }
 
-    /**
-     * Returns the request.
-     *
-     * @return The request.
-     */
     ReplayedRequest request() {
         return request;
     }
 
-    /**
-     * Returns the engine.
-     *
-     * @return The engine.
-     */
     SimulatedEngine engine() {
         return engine;
     }
 
-    /**
-     * Returns the number of the request in its gateway.
-     *
-     * @return The number.
-     */
     long requestId() {
         return requestId;
     }
 
-    /**
-     * Returns the position among all attempts.
-     *
-     * @return The position.
-     */
     long number() {
         return number;
     }
 
-    /**
-     * Returns the tier.
-     *
-     * @return The tier.
-     */
     int tier() {
         return request.serviceClass.tier();
     }
 
-    /**
-     * Tells whether it is a chat.
-     *
-     * @return Whether it is.
-     */
     boolean isChat() {
         return request.isChat();
     }
 
-    /**
-     * Returns the prompt.
-     *
-     * @return The number of tokens.
-     */
     int promptTokens() {
         return request.trace.promptTokens();
     }
 
-    /**
-     * Returns the group that shares the first half of the prompt.
-     *
-     * @return The group.
-     */
+    /** Returns the group of requests that share the first half of the prompt; empty if there is none. */
     String prefixGroup() {
         return request.trace.prefixGroup();
     }
 
-    /**
-     * Returns the tokens that were delivered before.
-     *
-     * @return The number.
-     */
     int deliveredBefore() {
         return deliveredBefore;
     }
 
-    /**
-     * Tells whether it ended.
-     *
-     * @return Whether it did.
-     */
     boolean isClosed() {
         return closed;
     }
 
-    /** Ends it without telling the gateway. */
+    /** Closes the attempt without notifying the gateway. */
     void close() {
         closed = true;
     }
 
-    /**
-     * Delivers tokens.
-     *
-     * @param tokens The number of tokens.
-     * @return The number that is left.
-     */
-    int generated(int tokens) {
+    /** Delivers tokens to the gateway and returns the number of output tokens still to generate. */
+    int deliver(int tokens) {
         double nowMillis = gateway.exactMillis();
         if (firstTokenAtMillis == 0) {
             firstTokenAtMillis = nowMillis;
         }
         lastTokenAtMillis = nowMillis;
-        gateway.delivered(request, tokens);
+        gateway.recordDelivery(request, tokens);
         return request.trace.outputTokens() - request.delivered;
     }
 
     /**
-     * Returns the measured time between tokens.
-     *
-     * @return The time in milliseconds; 0 if there were too few.
+     * Returns the mean time between tokens in milliseconds; 0 if fewer than four tokens were delivered or it isn't a
+     * chat.
      */
     double intervalMillis() {
         int tokens = request.delivered - deliveredBefore;
         return !isChat() || tokens < 4 ? 0 : (lastTokenAtMillis - firstTokenAtMillis) / (tokens - 1);
     }
 
-    /** Ends it with the whole answer. */
+    /** Completes the attempt with the whole answer. */
     void finish() {
         if (!closed) {
             closed = true;
@@ -216,7 +128,6 @@
         }
     }
 
-    /** Ends it with a failure. */
     void fail() {
         if (!closed) {
             closed = true;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ExampleDeployments.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ExampleDeployments.java
@@ -8,19 +8,12 @@
 import org.cranberrygauge.operator.questionnaire.Questionnaire;
 import org.cranberrygauge.operator.questionnaire.YamlFileReader;
 
-/** The configurations of the example deployments. */
+/** Reads the configurations of the example deployments. */
 final class ExampleDeployments {
 
-    /** Prevents instances. */
     private ExampleDeployments() {}
 
-    /**
-     * Generates the configuration of an example.
-     *
-     * @param questionnaire The file with the answers.
-     * @return The configuration.
-     * @throws CranberrygaugeException If the answers can't be used.
-     */
+    /** Generates a configuration from a questionnaire file, with customer keys that are the same on every call. */
     static Configuration read(Path questionnaire) throws CranberrygaugeException {
         AtomicInteger keys = new AtomicInteger();
         ConfigurationGenerator generator = new ConfigurationGenerator(() -> "replay-" + keys.incrementAndGet());
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/MeasurementPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/MeasurementPage.java
@@ -8,62 +8,43 @@
 import org.cranberrygauge.emulator.replay.TraceProfile;
 
 /**
- * Writes the page of measurements.
+ * Renders docs/MEASUREMENTS.md, which compares the policy with its baselines and ablations.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class MeasurementPage {
 
-    /** The difference of shares below which two figures count as equal. */
+    /** The difference in attainment below which two results count as equal. */
     private static final double EQUAL_SHARE = 0.005;
 
-    /** The relative difference of costs below which two figures count as equal. */
+    /** The relative difference in cost below which two results count as equal. */
     private static final double EQUAL_COST = 0.01;
 
-    /** The deployment that weighs cost most. */
+    /** The deployment for which cost is the main criterion. */
     private static final String COST_DEPLOYMENT = "kartuli";
 
-    /** The runs. */
     private final List<PolicyRun> runs;
 
-    /** The page. */
     private final StringBuilder text = new StringBuilder();
 
-    /**
-     * Creates a page.
-     *
-     * @param runs The runs.
-     */
     private MeasurementPage(List<PolicyRun> runs) {
         this.runs = runs;
     }
 
-    /**
-     * Writes the page.
-     *
-     * @param runs The runs.
-     * @param seed The seed.
-     * @return The page.
-     */
     static String render(List<PolicyRun> runs, long seed) {
         MeasurementPage page = new MeasurementPage(runs);
         page.introduction(seed);
-        page.stated();
+        page.acceptanceCriteria();
         List<String> deployments =
                 runs.stream().map(PolicyRun::deployment).distinct().toList();
         for (String deployment : deployments) {
-            page.notAhead(deployment);
+            page.baselinesAhead(deployment);
             page.table(deployment, "baselines", run -> run.variant().kind() != PolicyVariant.Kind.ABLATION);
             page.ablations(deployment);
         }
         return page.text.toString();
     }
 
-    /**
-     * Writes the introduction.
-     *
-     * @param seed The seed.
-     */
     private void introduction(long seed) {
         text.append("# Measurements of the policy\n\n")
                 .append(
@@ -86,56 +67,44 @@
                 .append("most; the\nconsortium weighs cost against service. Plots are in [plots](plots).\n\n");
     }
 
-    /** Writes what was stated and what was reached. */
-    private void stated() {
+    /** Writes, for each run of our policy, which acceptance criteria are not met. */
+    private void acceptanceCriteria() {
         text.append("## Stated outcomes\n\n| deployment | profile | holds | what does not |\n|---|---|---|---|\n");
         for (PolicyRun run : runs) {
             if (run.isOurs()) {
-                List<String> misses = run.misses();
+                List<String> unmetCriteria = run.unmetCriteria();
                 row(
                         run.deployment(),
                         run.profile().text(),
-                        misses.isEmpty() ? "yes" : "**no**",
-                        String.join("; ", misses));
+                        unmetCriteria.isEmpty() ? "yes" : "**no**",
+                        String.join("; ", unmetCriteria));
             }
         }
     }
 
-    /**
-     * Lists where our policy is not ahead of a baseline.
-     *
-     * @param deployment The deployment.
-     */
-    private void notAhead(String deployment) {
+    /** Lists the measures in which a baseline is better than our policy. */
+    private void baselinesAhead(String deployment) {
         text.append("\n## ").append(deployment).append(": where a baseline is ahead\n\n");
         text.append("Differences of less than 0.005 of attainment or 1% of cost count as equal.\n\n");
         text.append("| profile | baseline | measure | ours | baseline's |\n|---|---|---|---|---|\n");
-        int behind = 0;
+        int cases = 0;
         for (PolicyRun ours : select(deployment, PolicyRun::isOurs)) {
             List<PolicyRun> baselines = select(
                     deployment,
                     run -> run.profile() == ours.profile() && run.variant().kind() == PolicyVariant.Kind.BASELINE);
             for (PolicyRun baseline : baselines) {
-                behind += compare(ours, baseline, "high tier", PolicyRun::highTier);
-                behind += compare(
+                cases += compare(ours, baseline, "high tier", PolicyRun::highTier);
+                cases += compare(
                         ours, baseline, "worst customer", run -> run.result().worstCustomerAttainment());
                 if (deployment.equals(COST_DEPLOYMENT)) {
-                    behind += compareCost(ours, baseline);
+                    cases += compareCost(ours, baseline);
                 }
             }
         }
-        text.append('\n').append(behind).append(" cases.\n");
+        text.append('\n').append(cases).append(" cases.\n");
     }
 
-    /**
-     * Compares a share.
-     *
-     * @param ours Our run.
-     * @param baseline The run of a baseline.
-     * @param measure The name of the measure.
-     * @param share Returns the share.
-     * @return 1 if the baseline is ahead, else 0.
-     */
+    /** Adds a row if the baseline is better, and returns the number of rows added. */
     private int compare(PolicyRun ours, PolicyRun baseline, String measure, ToDoubleFunction<PolicyRun> share) {
         if (share.applyAsDouble(baseline) - share.applyAsDouble(ours) < EQUAL_SHARE) {
             return 0;
@@ -149,13 +118,7 @@
         return 1;
     }
 
-    /**
-     * Compares the cost.
-     *
-     * @param ours Our run.
-     * @param baseline The run of a baseline.
-     * @return 1 if the baseline is cheaper, else 0.
-     */
+    /** Adds a row if the baseline is cheaper, and returns the number of rows added. */
     private int compareCost(PolicyRun ours, PolicyRun baseline) {
         double own = ours.result().costPerThousandGood();
         double other = baseline.result().costPerThousandGood();
@@ -166,13 +129,6 @@
         return 1;
     }
 
-    /**
-     * Writes the figures of runs.
-     *
-     * @param deployment The deployment.
-     * @param title The title.
-     * @param wanted Tells which runs are written.
-     */
     private void table(String deployment, String title, Predicate<PolicyRun> wanted) {
         text.append("\n## ").append(deployment).append(": ").append(title).append("\n");
         for (TraceProfile profile : TraceProfile.values()) {
@@ -187,11 +143,6 @@
         }
     }
 
-    /**
-     * Writes the figures of a run.
-     *
-     * @param run The run.
-     */
     private void figures(PolicyRun run) {
         ReplayResult result = run.result();
         List<String> cells = new ArrayList<>();
@@ -206,16 +157,12 @@
         cells.add(String.valueOf(result.refused()));
         cells.add(String.valueOf(result.failed()));
         cells.add(String.valueOf(result.preempted()));
-        cells.add(String.valueOf(result.shedWhileLowerRan()));
+        cells.add(String.valueOf(result.shedWhileLowerTierRan()));
         cells.add(number(result.worstStarvation()));
         row(cells.toArray(String[]::new));
     }
 
-    /**
-     * Writes what each mechanism is worth.
-     *
-     * @param deployment The deployment.
-     */
+    /** Writes how much each mechanism contributes. */
     private void ablations(String deployment) {
         text.append("\n## ")
                 .append(deployment)
@@ -234,12 +181,7 @@
         }
     }
 
-    /**
-     * Writes what one mechanism is worth.
-     *
-     * @param deployment The deployment.
-     * @param variant The variant without the mechanism.
-     */
+    /** Writes how much is lost without one mechanism: the mean over all profiles, and the profile that loses most. */
     private void ablation(String deployment, String variant) {
         List<PolicyRun> ours = select(deployment, PolicyRun::isOurs);
         List<PolicyRun> without = select(deployment, run -> run.variant().name().equals(variant));
@@ -273,10 +215,8 @@
     }
 
     /**
-     * Returns the figures that ablations compare.
-     *
-     * @param run The run.
-     * @return The attainment of three classes and of the worst customer, and the cost.
+     * Returns what ablations compare: the attainment of the three chat classes, that of the worst customer, and the
+     * cost.
      */
     private static double[] values(PolicyRun run) {
         double[] values = new double[5];
@@ -289,44 +229,20 @@
         return values;
     }
 
-    /**
-     * Selects runs of a deployment.
-     *
-     * @param deployment The deployment.
-     * @param wanted Tells which runs are selected.
-     * @return The runs.
-     */
     private List<PolicyRun> select(String deployment, Predicate<PolicyRun> wanted) {
         return runs.stream()
                 .filter(run -> run.deployment().equals(deployment) && wanted.test(run))
                 .toList();
     }
 
-    /**
-     * Writes a row of a table.
-     *
-     * @param cells The cells.
-     */
     private void row(String... cells) {
         text.append("| ").append(String.join(" | ", cells)).append(" |\n");
     }
 
-    /**
-     * Writes a number.
-     *
-     * @param value The number.
-     * @return The text.
-     */
     private static String number(double value) {
         return String.format(Locale.ROOT, "%.3f", value);
     }
 
-    /**
-     * Writes a difference.
-     *
-     * @param value The difference.
-     * @return The text.
-     */
     private static String signed(double value) {
         return String.format(Locale.ROOT, "%+.4f", value);
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyBench.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyBench.java
@@ -17,32 +17,30 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * Replays each trace with our policy, each baseline and each ablation, and writes the page of measurements.
+ * Simulates each trace with our policy, each baseline and each ablation, and writes the page of measurements.
  *
- * <p>Started once, by one thread; replays run on several threads and share nothing.
+ * <p>Run once, by one thread; simulations run on several threads and share no state.
  */
 public final class PolicyBench {
 
-    /** The seed of all traces on the page. */
     private static final long SEED = 1;
 
-    /** The number of replays that run at once. */
+    /** The number of simulations that run concurrently. */
     private static final int THREADS = 3;
 
-    /** The deployments. */
     private static final List<String> DEPLOYMENTS = List.of("skillingbrond", "kartuli");
 
-    /** Prevents instances. */
     private PolicyBench() {}
 
     /**
-     * Runs the bench.
+     * Runs the benchmark and exits with status 1 if our policy misses an acceptance criterion.
      *
-     * @param arguments The root of the repository, and optionally --ours to print our policy's figures only.
-     * @throws CranberrygaugeException If an example can't be used.
+     * @param arguments The root of the repository, optionally followed by --ours, which prints only our policy's
+     *     results and leaves the page as it is.
+     * @throws CranberrygaugeException If an example can't be read or is invalid.
      * @throws IOException If the page can't be written.
-     * @throws InterruptedException If the bench is interrupted.
-     * @throws ExecutionException If a replay fails.
+     * @throws InterruptedException If the benchmark is interrupted.
+     * @throws ExecutionException If a simulation fails.
      */
     public static void main(String[] arguments)
             throws CranberrygaugeException, IOException, InterruptedException, ExecutionException {
@@ -61,22 +59,13 @@
             Files.writeString(page, MeasurementPage.render(runs, SEED));
             PolicyPlots.write(root.resolve("docs").resolve("plots"), runs);
         }
-        boolean missed =
-                runs.stream().anyMatch(run -> run.isOurs() && !run.misses().isEmpty());
+        boolean missed = runs.stream()
+                .anyMatch(run -> run.isOurs() && !run.unmetCriteria().isEmpty());
         System.out.println(missed ? "policy: some stated outcomes are missed" : "policy: all stated outcomes hold");
         System.exit(missed ? 1 : 0);
     }
 
-    /**
-     * Replays all profiles with variants.
-     *
-     * @param configuration The configuration.
-     * @param variants The variants.
-     * @param seed The seed.
-     * @return The runs by profile and variant.
-     * @throws InterruptedException If the bench is interrupted.
-     * @throws ExecutionException If a replay fails.
-     */
+    /** Simulates all trace profiles with each variant; the result is ordered by profile, then by variant. */
     static List<PolicyRun> replay(Configuration configuration, List<PolicyVariant> variants, long seed)
             throws InterruptedException, ExecutionException {
         ProfileGenerator generator = new ProfileGenerator(configuration);
@@ -99,15 +88,6 @@
         }
     }
 
-    /**
-     * Replays a trace.
-     *
-     * @param configuration The configuration.
-     * @param generator The generator of the trace.
-     * @param trace The trace.
-     * @param variant The variant.
-     * @return The run.
-     */
     private static PolicyRun run(
             Configuration configuration, ProfileGenerator generator, Trace trace, PolicyVariant variant) {
         ReplayResult result = new ReplaySimulation(configuration, trace, variant).run();
@@ -116,11 +96,6 @@
         return new PolicyRun(configuration.deployment(), trace.profile(), variant, chatClasses, result);
     }
 
-    /**
-     * Prints a line for each run.
-     *
-     * @param runs The runs.
-     */
     private static void print(List<PolicyRun> runs) {
         for (PolicyRun run : runs) {
             ReplayResult result = run.result();
@@ -143,10 +118,10 @@
                     result.failed(),
                     result.preempted(),
                     result.retried(),
-                    result.shedWhileLowerRan(),
+                    result.shedWhileLowerTierRan(),
                     result.worstStarvation());
             if (run.isOurs()) {
-                run.misses().forEach(miss -> System.out.println("    missed: " + miss));
+                run.unmetCriteria().forEach(criterion -> System.out.println("    missed: " + criterion));
             }
         }
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyPlots.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyPlots.java
@@ -12,7 +12,7 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.Styler;
 
-/** Draws the plots of the measurements. */
+/** Draws the plots of docs/MEASUREMENTS.md. */
 final class PolicyPlots {
 
     /** The width of a plot in pixels. */
@@ -21,48 +21,32 @@
     /** The height of a plot in pixels. */
     private static final int HEIGHT = 500;
 
-    /** The variants that are drawn over time. */
-    private static final List<String> OVER_TIME =
+    /** The variants drawn in each plot. */
+    private static final List<String> DRAWN_VARIANTS =
             List.of("ours", "round-robin", "first-in-first-out", "strict-priority", "per-gateway-static");
 
-    /** The profiles that are drawn over time. */
-    private static final List<TraceProfile> PROFILES = List.of(
+    /** The profiles whose attainment is drawn over time. */
+    private static final List<TraceProfile> DRAWN_PROFILES = List.of(
             TraceProfile.HIGH_TIER_BURST,
             TraceProfile.CUSTOMER_FLOOD,
             TraceProfile.DATA_CENTRE_EVICTION,
             TraceProfile.SLOW_ENGINE);
 
-    /** Prevents instances. */
     private PolicyPlots() {}
 
-    /**
-     * Draws the plots.
-     *
-     * @param directory The directory.
-     * @param runs The runs.
-     * @throws IOException If a plot can't be written.
-     */
     static void write(Path directory, List<PolicyRun> runs) throws IOException {
         Files.createDirectories(directory);
         List<String> deployments =
                 runs.stream().map(PolicyRun::deployment).distinct().toList();
         for (String deployment : deployments) {
-            for (TraceProfile profile : PROFILES) {
+            for (TraceProfile profile : DRAWN_PROFILES) {
                 overTime(directory, runs, deployment, profile);
             }
             cost(directory, runs, deployment);
         }
     }
 
-    /**
-     * Draws the attainment of the highest chat tier over time.
-     *
-     * @param directory The directory.
-     * @param runs The runs.
-     * @param deployment The deployment.
-     * @param profile The profile.
-     * @throws IOException If the plot can't be written.
-     */
+    /** Draws the attainment of the highest chat tier over time. */
     private static void overTime(Path directory, List<PolicyRun> runs, String deployment, TraceProfile profile)
             throws IOException {
         XYChart chart = chart(
@@ -70,7 +54,7 @@
         for (PolicyRun run : runs) {
             boolean drawn = run.deployment().equals(deployment)
                     && run.profile() == profile
-                    && OVER_TIME.contains(run.variant().name());
+                    && DRAWN_VARIANTS.contains(run.variant().name());
             if (drawn) {
                 Map<Integer, Double> points = run.result().goodBySecond();
                 chart.addSeries(run.variant().name(), List.copyOf(points.keySet()), List.copyOf(points.values()));
@@ -79,20 +63,13 @@
         save(chart, directory.resolve(deployment + "-" + profile.text()));
     }
 
-    /**
-     * Draws the cost of a good answer against attainment, one point for each profile.
-     *
-     * @param directory The directory.
-     * @param runs The runs.
-     * @param deployment The deployment.
-     * @throws IOException If the plot can't be written.
-     */
+    /** Draws the cost of an answer within its targets against attainment, one point per profile. */
     private static void cost(Path directory, List<PolicyRun> runs, String deployment) throws IOException {
         XYChart chart = chart(
                 deployment + ", one point a profile",
                 "attainment of the highest chat tier",
                 "cost of a thousand good answers");
-        for (String variant : OVER_TIME) {
+        for (String variant : DRAWN_VARIANTS) {
             List<PolicyRun> points = runs.stream()
                     .filter(run -> run.deployment().equals(deployment)
                             && run.variant().name().equals(variant))
@@ -108,14 +85,6 @@
         save(chart, directory.resolve(deployment + "-cost"));
     }
 
-    /**
-     * Creates a chart.
-     *
-     * @param title The title.
-     * @param horizontal The title of the horizontal axis.
-     * @param vertical The title of the vertical axis.
-     * @return The chart.
-     */
     private static XYChart chart(String title, String horizontal, String vertical) {
         XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
@@ -128,13 +97,7 @@
         return chart;
     }
 
-    /**
-     * Saves a chart.
-     *
-     * @param chart The chart.
-     * @param file The file without its ending.
-     * @throws IOException If it can't be written.
-     */
+    /** Saves a chart as PNG; the file name is given without its extension. */
     private static void save(XYChart chart, Path file) throws IOException {
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyVariant.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyVariant.java
@@ -19,29 +19,22 @@
 import org.cranberrygauge.decision.share.SlotDivision;
 
 /**
- * One way to decide, for comparison.
+ * A policy under comparison.
  *
- * @param name The name.
- * @param kind Whether it is ours, a baseline or an ablation.
- * @param exchangeMillis The time between two exchanges of counts in milliseconds.
- * @param decisions Creates the decisions of one gateway.
+ * @param exchangeMillis The interval at which gateways exchange their counts.
+ * @param decisions Creates the policy of one gateway.
  */
 record PolicyVariant(String name, Kind kind, long exchangeMillis, Supplier<DispatchPolicy> decisions) {
 
-    /** The time between two exchanges of gateways in milliseconds. */
+    /** The interval at which gateways exchange their counts. */
     private static final long EXCHANGE_MILLIS = 250;
 
-    /** The time between two exchanges that stands in for an owner that grants each slot. */
-    private static final long OWNER_MILLIS = 2;
+    /** An exchange interval short enough to approximate a central owner that grants each slot. */
+    private static final long OWNER_EXCHANGE_MILLIS = 2;
 
-    /** Our policy. */
     static final PolicyVariant OURS = of("ours", Kind.OURS, DispatchPolicy::standard);
 
-    /**
-     * Returns all variants.
-     *
-     * @return The variants, ours first.
-     */
+    /** Returns all variants, ours first. */
     static List<PolicyVariant> all() {
         return List.of(
                 OURS,
@@ -61,7 +54,11 @@
                         AdmissionPolicy.standard().withShares(GuaranteedSharePolicy.Disabled.INSTANCE)),
                 division("per-gateway-static", Kind.BASELINE, SlotDivision.EqualParts.INSTANCE, EXCHANGE_MILLIS),
                 division("exchanged-counts", Kind.ABLATION, SlotDivision.ExchangedCounts.INSTANCE, EXCHANGE_MILLIS),
-                division("owner-grants-bound", Kind.ABLATION, SlotDivision.ExchangedCounts.INSTANCE, OWNER_MILLIS),
+                division(
+                        "owner-grants-bound",
+                        Kind.ABLATION,
+                        SlotDivision.ExchangedCounts.INSTANCE,
+                        OWNER_EXCHANGE_MILLIS),
                 of(
                         "no-preemption",
                         Kind.ABLATION,
@@ -99,50 +96,19 @@
                         AdmissionPolicy.standard().withShares(GuaranteedSharePolicy.Strict.INSTANCE)));
     }
 
-    /**
-     * Creates a variant.
-     *
-     * @param name The name.
-     * @param kind The kind.
-     * @param decisions Creates the decisions of one gateway.
-     * @return The variant.
-     */
     private static PolicyVariant of(String name, Kind kind, Supplier<DispatchPolicy> decisions) {
         return new PolicyVariant(name, kind, EXCHANGE_MILLIS, decisions);
     }
 
-    /**
-     * Creates a baseline of routing.
-     *
-     * @param name The name.
-     * @param routing Creates the routing policy.
-     * @return The variant.
-     */
+    /** Creates a baseline that differs in its routing. */
     private static PolicyVariant routing(String name, Supplier<RoutingPolicy> routing) {
         return of(name, Kind.BASELINE, () -> DispatchPolicy.standard().withRouting(routing.get()));
     }
 
-    /**
-     * Creates a variant of admission.
-     *
-     * @param name The name.
-     * @param kind The kind.
-     * @param policy The rules of the queue.
-     * @return The variant.
-     */
     private static PolicyVariant admission(String name, Kind kind, AdmissionPolicy policy) {
         return of(name, kind, () -> DispatchPolicy.standard().withQueue(new TieredAdmissionQueue(policy)));
     }
 
-    /**
-     * Creates a variant of the division of slots.
-     *
-     * @param name The name.
-     * @param kind The kind.
-     * @param division The division.
-     * @param exchangeMillis The time between two exchanges in milliseconds.
-     * @return The variant.
-     */
     private static PolicyVariant division(String name, Kind kind, SlotDivision division, long exchangeMillis) {
         return new PolicyVariant(
                 name,
@@ -151,13 +117,13 @@
                 () -> DispatchPolicy.standard().withTable(new BackendTable(division, OutlierDetection.PEERS)));
     }
 
-    /** The kinds of variants. */
+    /** The role of a variant in the comparison. */
     enum Kind {
-        /** Our policy. */
+        /** The policy of this project. */
         OURS,
-        /** What others do. */
+        /** A policy in common use elsewhere. */
         BASELINE,
-        /** Ours with one mechanism replaced. */
+        /** Our policy with one mechanism disabled or replaced. */
         ABLATION
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
@@ -17,76 +17,56 @@
 import org.cranberrygauge.model.customer.Customer;
 
 /**
- * A gateway of the replay: the dispatcher and the retry budget of the real one, without sockets.
+ * A simulated gateway: the dispatcher and the retry budget of the real one, without sockets.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class ReplayGateway implements DispatchListener {
 
-    /** The number of attempts after which a request is given up, as in the gateway. */
-    private static final int ATTEMPTS = 4;
+    /** The maximum number of attempts per request, as in the gateway. */
+    private static final int MAXIMUM_ATTEMPTS = 4;
 
-    /** The share of successes that may be retried, as in the gateway. */
+    /** The retry budget as a share of successes, as in the gateway. */
     private static final double RETRY_SHARE = 0.1;
 
-    /** The number of retries that can be saved, as in the gateway. */
+    /** The maximum number of retries that the budget accumulates, as in the gateway. */
     private static final int RETRY_BURST = 20;
 
-    /** The output limit that callers set in tokens. */
+    /** The output limit that callers set, in tokens. */
     private static final int OUTPUT_LIMIT = 2_048;
 
-    /** The time from gateway to engine in milliseconds. */
-    private static final double ENGINE_MILLIS = 0.5;
+    /** The one-way network latency between gateway and engine. */
+    private static final double ENGINE_LATENCY_MILLIS = 0.5;
 
-    /** The time from gateway to caller in milliseconds. */
-    private static final double CALLER_MILLIS = 3;
+    /** The one-way network latency between gateway and caller. */
+    private static final double CALLER_LATENCY_MILLIS = 3;
 
-    /** The name. */
     private final String name;
 
-    /** The replay. */
     private final ReplaySimulation replay;
 
-    /** The clock. */
     private final VirtualClock clock;
 
-    /** The dispatcher. */
     private final Dispatcher dispatcher;
 
-    /** The retry budget. */
     private final RetryBudget retries = new RetryBudget.Share(RETRY_SHARE, RETRY_BURST);
 
-    /** The customers by name. */
     private final Map<String, Customer> customers = new HashMap<>();
 
-    /** The services by path prefix. */
     private final Configuration configuration;
 
-    /** The waiting and running requests by number. */
+    /** The waiting and running requests by request number. */
     private final Map<Long, ReplayedRequest> requests = new HashMap<>();
 
-    /** The running attempts by number of the request. */
+    /** The running attempts by request number. */
     private final Map<Long, EngineAttempt> attempts = new HashMap<>();
 
-    /** Whether it is there. */
     private boolean alive = true;
 
-    /** The successes. */
     private long successes;
 
-    /** The retries. */
     private long retried;
 
-    /**
-     * Creates a gateway.
-     *
-     * @param name The name.
-     * @param replay The replay.
-     * @param clock The clock.
-     * @param variant The decisions.
-     * @param configuration The configuration.
-     * @param random The source of randomness.
-     */
     ReplayGateway(
             String name,
             ReplaySimulation replay,
@@ -104,107 +84,57 @@
         dispatcher.configure(configuration.classes());
     }
 
-    /**
-     * Returns the name.
-     *
-     * @return The name.
-     */
     String name() {
         return name;
     }
 
-    /**
-     * Returns the table.
-     *
-     * @return The table.
-     */
     BackendTable table() {
         return dispatcher.table();
     }
 
-    /**
-     * Returns the running attempts.
-     *
-     * @return The attempts.
-     */
     Iterable<EngineAttempt> attempts() {
         return attempts.values();
     }
 
-    /**
-     * Returns the work in flight and waiting.
-     *
-     * @return The number of requests.
-     */
+    /** Returns the number of requests in flight and waiting. */
     double demand() {
         return requests.size();
     }
 
-    /**
-     * Returns the waiting requests of a class.
-     *
-     * @param className The name of the class.
-     * @return The number.
-     */
     int waiting(String className) {
         return dispatcher.waiting(className);
     }
 
-    /**
-     * Returns the successes.
-     *
-     * @return The number.
-     */
     long successes() {
         return successes;
     }
 
-    /**
-     * Returns the retries.
-     *
-     * @return The number.
-     */
     long retried() {
         return retried;
     }
 
-    /**
-     * Tells whether it is there.
-     *
-     * @return Whether it is.
-     */
     boolean isAlive() {
         return alive;
     }
 
-    /**
-     * Returns the present time with fractions.
-     *
-     * @return The time in milliseconds.
-     */
+    /** Returns the present time including fractions of a millisecond. */
     double exactMillis() {
         return clock.exactMillis();
     }
 
-    /**
-     * Takes a request.
-     *
-     * @param requestId The number of the request.
-     * @param request The request.
-     */
-    void take(long requestId, ReplayedRequest request) {
+    void accept(long requestId, ReplayedRequest request) {
         requests.put(requestId, request);
         submit(requestId, request);
     }
 
-    /** Refuses what is late, starts what can start and preempts. */
+    /** Refuses expired requests, starts those that have a slot and preempts lower tiers. */
     void tick() {
         if (alive) {
             dispatcher.tick(clock.nowMillis());
         }
     }
 
-    /** Is killed with all that waits and runs. */
+    /** Kills the gateway; all its requests fail. */
     void kill() {
         alive = false;
         List.copyOf(attempts.values()).forEach(attempt -> attempt.engine().cancel(attempt));
@@ -213,12 +143,8 @@
         requests.clear();
     }
 
-    /**
-     * Ends the requests of a customer whose key was withdrawn.
-     *
-     * @param customer The name of the customer.
-     */
-    void withdraw(String customer) {
+    /** Ends the requests of a customer whose key was withdrawn. */
+    void onKeyWithdrawn(String customer) {
         for (Map.Entry<Long, ReplayedRequest> entry : List.copyOf(requests.entrySet())) {
             if (!entry.getValue().trace.customer().equals(customer)) {
                 continue;
@@ -231,7 +157,7 @@
                 dispatcher.ended(
                         clock.nowMillis(), requestId, attempt.engine().server().name());
             }
-            over(requestId, entry.getValue(), ReplayedRequest.End.KEY_WITHDRAWN);
+            complete(requestId, entry.getValue(), ReplayedRequest.End.KEY_WITHDRAWN);
         }
     }
 
@@ -240,10 +166,10 @@
         ReplayedRequest request = requests.get(queued.requestId());
         request.attempts++;
         EngineAttempt attempt = replay.attempt(this, server, request, queued.requestId());
-        attempt.startedAt(clock.nowMillis(), owed);
+        attempt.markStarted(clock.nowMillis(), owed);
         attempts.put(queued.requestId(), attempt);
         replay.started(this, request);
-        clock.after(ENGINE_MILLIS, () -> {
+        clock.after(ENGINE_LATENCY_MILLIS, () -> {
             if (!attempt.isClosed()) {
                 attempt.engine().submit(attempt);
             }
@@ -254,7 +180,7 @@
     public void refuse(Refusal refusal) {
         ReplayedRequest request = requests.get(refusal.requestId());
         replay.refused(this, request);
-        over(refusal.requestId(), request, ReplayedRequest.End.REFUSED);
+        complete(refusal.requestId(), request, ReplayedRequest.End.REFUSED);
     }
 
     @Override
@@ -267,19 +193,14 @@
             replay.preempted(this, attempt);
             attempt.engine().cancel(attempt);
             attempt.request().preemptions++;
-            released(attempt);
+            release(attempt);
             submit(requestId, attempt.request());
         });
     }
 
-    /**
-     * Takes tokens on their way to the caller.
-     *
-     * @param request The request.
-     * @param tokens The number of tokens.
-     */
-    void delivered(ReplayedRequest request, int tokens) {
-        double atMillis = clock.exactMillis() + ENGINE_MILLIS + CALLER_MILLIS;
+    /** Records tokens that are on their way to the caller. */
+    void recordDelivery(ReplayedRequest request, int tokens) {
+        double atMillis = clock.exactMillis() + ENGINE_LATENCY_MILLIS + CALLER_LATENCY_MILLIS;
         if (request.firstTokenAtMillis < 0) {
             request.firstTokenAtMillis = atMillis;
         }
@@ -287,45 +208,34 @@
         request.delivered += tokens;
     }
 
-    /**
-     * Takes the whole end of an attempt.
-     *
-     * @param attempt The attempt.
-     */
+    /** Handles the end of an attempt that delivered the whole answer. */
     void finished(EngineAttempt attempt) {
         attempts.remove(attempt.requestId());
         retries.succeeded();
         successes++;
-        released(attempt);
-        over(attempt.requestId(), attempt.request(), ReplayedRequest.End.ANSWERED);
+        release(attempt);
+        complete(attempt.requestId(), attempt.request(), ReplayedRequest.End.ANSWERED);
     }
 
-    /**
-     * Takes the failure of an attempt.
-     *
-     * @param attempt The attempt.
-     */
+    /** Handles a failed attempt: retries it if the request is safe to repeat and the retry budget allows it. */
     void failed(EngineAttempt attempt) {
         ReplayedRequest request = attempt.request();
         attempts.remove(attempt.requestId());
         table().failed(clock.nowMillis(), attempt.engine().server().name());
-        released(attempt);
-        boolean again =
-                !request.trace.mutates() && request.attempts - request.preemptions < ATTEMPTS && retries.tryRetry();
-        if (again) {
+        release(attempt);
+        boolean retry = !request.trace.mutates()
+                && request.attempts - request.preemptions < MAXIMUM_ATTEMPTS
+                && retries.tryRetry();
+        if (retry) {
             retried++;
             submit(attempt.requestId(), request);
         } else {
-            over(attempt.requestId(), request, ReplayedRequest.End.FAILED);
+            complete(attempt.requestId(), request, ReplayedRequest.End.FAILED);
         }
     }
 
-    /**
-     * Frees the slot of an attempt.
-     *
-     * @param attempt The attempt.
-     */
-    private void released(EngineAttempt attempt) {
+    /** Releases the slot of an attempt and reports its measured speed. */
+    private void release(EngineAttempt attempt) {
         String server = attempt.engine().server().name();
         double interval = attempt.intervalMillis();
         if (interval > 0) {
@@ -334,14 +244,7 @@
         dispatcher.ended(clock.nowMillis(), attempt.requestId(), server);
     }
 
-    /**
-     * Ends a request.
-     *
-     * @param requestId The number of the request.
-     * @param request The request.
-     * @param end The end.
-     */
-    private void over(long requestId, ReplayedRequest request, ReplayedRequest.End end) {
+    private void complete(long requestId, ReplayedRequest request, ReplayedRequest.End end) {
         requests.remove(requestId);
         if (request.isChat() && request.attempts > 0) {
             dispatcher.finished(requestId, request.trace.promptTokens() + (long) request.delivered);
@@ -349,12 +252,6 @@
         replay.end(request, end);
     }
 
-    /**
-     * Submits a request to the dispatcher.
-     *
-     * @param requestId The number of the request.
-     * @param request The request.
-     */
     private void submit(long requestId, ReplayedRequest request) {
         long nowMillis = clock.nowMillis();
         String target = request.isChat() ? request.trace.model() : service(request);
@@ -373,12 +270,7 @@
         dispatcher.submit(nowMillis, queued, routing, request.isChat(), Eligibility.Any.INSTANCE);
     }
 
-    /**
-     * Finds the service of a call.
-     *
-     * @param request The request.
-     * @return The name of the service.
-     */
+    /** Finds the service that a call is routed to by its path. */
     private String service(ReplayedRequest request) {
         return configuration.routes().stream()
                 .filter(route -> request.trace.path().startsWith("/services" + route.pathPrefix()))
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayResult.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayResult.java
@@ -13,27 +13,25 @@
 import org.cranberrygauge.model.customer.Customer;
 
 /**
- * The figures of one replay.
+ * The results of one simulation.
  *
- * @param attainment The share of requests that met the targets, by class.
- * @param worstCustomer The customer with the lowest attainment over all its requests, but for one that floods.
- * @param worstCustomerAttainment The attainment of that customer.
- * @param worstFairShare The lowest ratio of the tokens a customer got to the lesser of what it asked for and its fair
- *     share.
- * @param goodTokensPerSecond The output tokens of answers that met their targets, a second.
- * @param wastedShare The share of generated tokens that are in no whole answer.
- * @param prefilledShare The share of the prompt tokens of all attempts that engines read because they were not cached.
- * @param costPerThousandGood The cost of engines for a thousand answers that met their targets.
- * @param refused The number of refused requests.
- * @param failed The number of failed requests.
- * @param preempted The number of preemptions.
+ * @param attainment The share of requests that met their targets, by class.
+ * @param worstCustomer The customer with the lowest attainment over all its requests, except one that floods the
+ *     gateways.
+ * @param worstFairShare The lowest ratio, over customers, of tokens delivered to the lesser of tokens requested and
+ *     the fair share.
+ * @param goodTokensPerSecond The output tokens per second of answers that met their targets.
+ * @param wastedShare The share of generated tokens that belong to no complete answer.
+ * @param prefilledShare The share of the prompt tokens of all attempts that engines processed because they were not
+ *     cached.
+ * @param costPerThousandGood The cost of engines per thousand answers that met their targets.
  * @param retried The number of retries by gateways.
- * @param retryLimit The most retries that the budgets allow.
- * @param shedWhileLowerRan The requests refused while a lower tier ran that could have given way.
- * @param preemptedForNothing The requests preempted while nothing of a higher tier waited.
- * @param heldAfterDeadline The requests held after their deadline.
- * @param worstStarvation The longest wait of a class without a start relative to its bound.
- * @param goodBySecond The attainment of the highest chat tier in each five seconds of the trace.
+ * @param retryLimit The maximum number of retries that the budgets allow.
+ * @param shedWhileLowerTierRan The requests refused while a preemptible request of a lower tier ran.
+ * @param needlessPreemptions The requests preempted while no request of a higher tier waited.
+ * @param refusedAfterDeadline The requests refused too late after their deadline.
+ * @param worstStarvation The longest wait of a class without a start, as a multiple of its target for the first token.
+ * @param goodBySecond The attainment of the highest chat tier by the start of each interval of five seconds.
  */
 record ReplayResult(
         Map<String, Double> attainment,
@@ -49,56 +47,45 @@
         long preempted,
         long retried,
         long retryLimit,
-        int shedWhileLowerRan,
-        int preemptedForNothing,
-        int heldAfterDeadline,
+        int shedWhileLowerTierRan,
+        int needlessPreemptions,
+        int refusedAfterDeadline,
         double worstStarvation,
         Map<Integer, Double> goodBySecond) {
 
-    /** The cost of one engine for an hour. */
+    /** The cost of one engine per hour. */
     private static final double COST_PER_HOUR = 3.2;
 
-    /** The number of milliseconds in an hour. */
     private static final double MILLIS_PER_HOUR = 3_600_000;
 
-    /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The length of a part of the curve over time in milliseconds. */
-    private static final long PART_MILLIS = 5_000;
+    /** The length of an interval of the curve over time. */
+    private static final long INTERVAL_MILLIS = 5_000;
 
-    /** The retries that each gateway may save. */
+    /** The maximum number of retries that the budget of a gateway accumulates. */
     private static final long RETRY_BURST = 20;
 
-    /** The share of successes that may be retried. */
+    /** The retry budget as a share of successes. */
     private static final double RETRY_SHARE = 0.1;
 
-    /** The requests that a customer needs to be judged. */
-    private static final int CUSTOMER_REQUESTS = 20;
+    /** The minimum number of requests of a customer whose attainment is counted. */
+    private static final int MINIMUM_CUSTOMER_REQUESTS = 20;
 
-    /**
-     * Computes the figures.
-     *
-     * @param configuration The configuration.
-     * @param trace The trace.
-     * @param requests The requests.
-     * @param engines The engines.
-     * @param gateways The gateways.
-     * @param check What was seen of the order of tiers.
-     * @return The figures.
-     */
+    /** Computes the results of a finished simulation. */
     static ReplayResult of(
             Configuration configuration,
             Trace trace,
             List<ReplayedRequest> requests,
             List<SimulatedEngine> engines,
             List<ReplayGateway> gateways,
-            TierOrderMonitor check) {
-        Map<String, Double> byCustomer = attainment(requests, request -> request.trace.customer(), CUSTOMER_REQUESTS);
-        String flooding = trace.profile() == TraceProfile.CUSTOMER_FLOOD
+            TierOrderMonitor monitor) {
+        Map<String, Double> byCustomer =
+                attainment(requests, request -> request.trace.customer(), MINIMUM_CUSTOMER_REQUESTS);
+        String floodingCustomer = trace.profile() == TraceProfile.CUSTOMER_FLOOD
                 ? new ProfileGenerator(configuration).flooding().name()
                 : "";
-        byCustomer.remove(flooding);
+        byCustomer.remove(floodingCustomer);
         Map.Entry<String, Double> worst =
                 byCustomer.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow();
         List<ReplayedRequest> good =
@@ -117,10 +104,10 @@
                 .filter(ReplayedRequest::isChat)
                 .mapToLong(request -> (long) request.attempts * request.trace.promptTokens())
                 .sum();
-        long models = engines.stream()
+        long engineCount = engines.stream()
                 .filter(engine -> engine.server().kind() == BackendKind.MODEL)
                 .count();
-        double cost = models * COST_PER_HOUR * trace.durationMillis() / MILLIS_PER_HOUR;
+        double cost = engineCount * COST_PER_HOUR * trace.durationMillis() / MILLIS_PER_HOUR;
         long successes = gateways.stream().mapToLong(ReplayGateway::successes).sum();
         String highest = requests.stream()
                 .filter(ReplayedRequest::isChat)
@@ -145,37 +132,23 @@
                 requests.stream().mapToLong(request -> request.preemptions).sum(),
                 gateways.stream().mapToLong(ReplayGateway::retried).sum(),
                 (long) (RETRY_SHARE * successes) + RETRY_BURST * gateways.size(),
-                check.shedWhileLowerRan(),
-                check.preemptedForNothing(),
-                check.heldAfterDeadline(),
-                check.worstStarvation(),
+                monitor.shedWhileLowerTierRan(),
+                monitor.needlessPreemptions(),
+                monitor.refusedAfterDeadline(),
+                monitor.worstStarvation(),
                 overTime(requests, highest));
     }
 
-    /**
-     * Counts the requests with an end.
-     *
-     * @param requests The requests.
-     * @param end The end.
-     * @return The number.
-     */
     private static long count(List<ReplayedRequest> requests, ReplayedRequest.End end) {
         return requests.stream().filter(request -> request.end == end).count();
     }
 
-    /**
-     * Computes attainment by a label.
-     *
-     * @param requests The requests.
-     * @param label Returns the label of a request.
-     * @param minimum The requests that a label needs to be judged.
-     * @return The shares by label.
-     */
+    /** Computes attainment per label, leaving out labels with fewer requests than the minimum. */
     private static Map<String, Double> attainment(
             List<ReplayedRequest> requests, Function<ReplayedRequest, String> label, int minimum) {
         Map<String, int[]> counts = new TreeMap<>();
         for (ReplayedRequest request : requests) {
-            if (request.counts()) {
+            if (request.countsTowardsAttainment()) {
                 int[] count = counts.computeIfAbsent(label.apply(request), name -> new int[2]);
                 count[0]++;
                 count[1] += request.isGood() ? 1 : 0;
@@ -191,23 +164,20 @@
     }
 
     /**
-     * Computes what the worst-served customer got of what it could claim.
-     *
-     * @param configuration The configuration.
-     * @param requests The requests.
-     * @return The lowest ratio of the tokens got to the lesser of the tokens asked for and the fair share.
+     * Returns the lowest ratio, over customers, of tokens delivered to the lesser of tokens requested and the fair
+     * share.
      */
     private static double worstFairShare(Configuration configuration, List<ReplayedRequest> requests) {
-        Map<String, Double> asked = new HashMap<>();
-        Map<String, Double> got = new HashMap<>();
+        Map<String, Double> requested = new HashMap<>();
+        Map<String, Double> delivered = new HashMap<>();
         double total = 0;
         for (ReplayedRequest request : requests) {
-            if (!request.isChat() || !request.counts()) {
+            if (!request.isChat() || !request.countsTowardsAttainment()) {
                 continue;
             }
-            asked.merge(request.trace.customer(), (double) request.trace.outputTokens(), Double::sum);
+            requested.merge(request.trace.customer(), (double) request.trace.outputTokens(), Double::sum);
             if (request.end == ReplayedRequest.End.ANSWERED) {
-                got.merge(request.trace.customer(), (double) request.delivered, Double::sum);
+                delivered.merge(request.trace.customer(), (double) request.delivered, Double::sum);
                 total += request.delivered;
             }
         }
@@ -215,27 +185,23 @@
                 configuration.customers().stream().mapToInt(Customer::weight).sum();
         double worst = 1;
         for (Customer customer : configuration.customers()) {
-            double claim = Math.min(asked.getOrDefault(customer.name(), 0.0), total * customer.weight() / weights);
-            if (claim > 0) {
-                worst = Math.min(worst, got.getOrDefault(customer.name(), 0.0) / claim);
+            double entitlement =
+                    Math.min(requested.getOrDefault(customer.name(), 0.0), total * customer.weight() / weights);
+            if (entitlement > 0) {
+                worst = Math.min(worst, delivered.getOrDefault(customer.name(), 0.0) / entitlement);
             }
         }
         return worst;
     }
 
-    /**
-     * Computes the attainment of a class over time.
-     *
-     * @param requests The requests.
-     * @param className The class.
-     * @return The attainment by second.
-     */
+    /** Computes the attainment of a class by the start of each interval, in seconds. */
     private static Map<Integer, Double> overTime(List<ReplayedRequest> requests, String className) {
         Map<Integer, int[]> counts = new TreeMap<>();
         for (ReplayedRequest request : requests) {
-            if (request.counts() && request.serviceClass.name().equals(className)) {
-                int part = (int) (request.trace.arrivalMillis() / PART_MILLIS * PART_MILLIS / MILLIS_PER_SECOND);
-                int[] count = counts.computeIfAbsent(part, second -> new int[2]);
+            if (request.countsTowardsAttainment() && request.serviceClass.name().equals(className)) {
+                int interval =
+                        (int) (request.trace.arrivalMillis() / INTERVAL_MILLIS * INTERVAL_MILLIS / MILLIS_PER_SECOND);
+                int[] count = counts.computeIfAbsent(interval, second -> new int[2]);
                 count[0]++;
                 count[1] += request.isGood() ? 1 : 0;
             }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayedRequest.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayedRequest.java
@@ -4,67 +4,46 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * What became of one request of a trace.
+ * The progress and outcome of one request of a trace.
  *
- * <p>Mutable and used by one thread.
+ * <p>Mutable and not thread-safe.
  */
 final class ReplayedRequest {
 
-    /** The line of the trace. */
     final TraceRequest trace;
 
-    /** The class. */
     final ServiceClass serviceClass;
 
-    /** The end. */
     End end = End.RUNNING;
 
-    /** The time of the end in milliseconds. */
     double endedAtMillis;
 
-    /** The time of the first token at the caller in milliseconds; negative before. */
+    /** The time at which the caller received the first token; negative before. */
     double firstTokenAtMillis = -1;
 
-    /** The time of the last token at the caller in milliseconds. */
+    /** The time at which the caller received the last token so far. */
     double lastTokenAtMillis;
 
-    /** The tokens that the caller has. */
+    /** The output tokens delivered to the caller. */
     int delivered;
 
-    /** The attempts that the gateways made. */
     int attempts;
 
-    /** The times that it was preempted. */
     int preemptions;
 
-    /** The times that its caller sent it again. */
+    /** The number of times that its caller sent it again. */
     int callerRetries;
 
-    /**
-     * Creates a request.
-     *
-     * @param trace The line of the trace.
-     * @param serviceClass The class.
-     */
     ReplayedRequest(TraceRequest trace, ServiceClass serviceClass) {
         this.trace = trace;
         this.serviceClass = serviceClass;
     }
 
-    /**
-     * Tells whether the request is a chat.
-     *
-     * @return Whether it is.
-     */
     boolean isChat() {
         return trace.kind() == TraceRequest.Kind.CHAT;
     }
 
-    /**
-     * Tells whether the targets of the class were met.
-     *
-     * @return Whether the whole answer came in time.
-     */
+    /** Tells whether the complete answer arrived within the targets of its class. */
     boolean isGood() {
         if (end != End.ANSWERED) {
             return false;
@@ -75,26 +54,18 @@
                 && between <= serviceClass.betweenTokensTargetMillis();
     }
 
-    /**
-     * Tells whether the request counts for attainment.
-     *
-     * @return Whether its key worked and its end is known.
-     */
-    boolean counts() {
+    /** Tells whether the request counts towards attainment: it ended, and not because its key was withdrawn. */
+    boolean countsTowardsAttainment() {
         return end != End.KEY_WITHDRAWN && end != End.RUNNING;
     }
 
-    /** The ends of a request. */
+    /** How a request ended. */
     enum End {
-        /** It waits or runs. */
+        /** Not ended yet: it waits or runs. */
         RUNNING,
-        /** The whole answer came. */
         ANSWERED,
-        /** It was refused. */
         REFUSED,
-        /** It failed. */
         FAILED,
-        /** Its key was withdrawn. */
         KEY_WITHDRAWN
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SimulatedEngine.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SimulatedEngine.java
@@ -12,161 +12,113 @@
 import org.cranberrygauge.model.backend.BackendServer;
 
 /**
- * An engine, or the worker of a plain service, in memory, with the speed and the prefix cache of the stand-in.
+ * An inference engine, or a worker of a plain service, simulated in memory with the speed model and the prefix cache
+ * of the emulated engine.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class SimulatedEngine {
 
-    /** The tokens that are generated in one step after the first. */
+    /** The tokens generated per simulation event after the first token. */
     private static final int TOKENS_PER_STEP = 4;
 
-    /** The time of a call to a plain service in milliseconds. */
-    private static final double SERVICE_MILLIS = 20;
+    /** The duration of a call to a plain service. */
+    private static final double SERVICE_CALL_MILLIS = 20;
 
-    /** The time after which a failed attempt is noticed in milliseconds. */
-    private static final double FAILURE_MILLIS = 5;
+    /** The time until the gateway notices that an attempt failed. */
+    private static final double FAILURE_DETECTION_MILLIS = 5;
 
-    /** The memory of the prefix cache in tokens. */
+    /** The capacity of the prefix cache. */
     private static final int CACHE_TOKENS = 20_000;
 
-    /** The time between tokens of a lone request in milliseconds. */
-    private static final double INTERVAL_MILLIS = 10;
+    /** The time between tokens while a single request runs. */
+    private static final double TOKEN_INTERVAL_MILLIS = 10;
 
-    /** The prompt tokens that are read in a second. */
+    /** The speed at which uncached prompt tokens are processed. */
     private static final double PREFILL_TOKENS_PER_SECOND = 8_000;
 
-    /** The clock. */
     private final VirtualClock clock;
 
-    /** The server as configured. */
     private final BackendServer server;
 
-    /** The speed. */
     private final EngineSpeed speed;
 
-    /** The source of randomness. */
     private final Random random;
 
-    /** The prefix cache. */
     private PrefixCache cache = new PrefixCache(CACHE_TOKENS);
 
-    /** The attempts that run. */
     private final Set<EngineAttempt> running = new LinkedHashSet<>();
 
     /** The attempts that wait for a slot, highest tier first. */
     private final PriorityQueue<EngineAttempt> waiting =
             new PriorityQueue<>(Comparator.comparingInt(EngineAttempt::tier).thenComparingLong(EngineAttempt::number));
 
-    /** The factor by which it is slowed down. */
+    /** The factor by which processing is slowed down; 1 is full speed. */
     private double slowness = 1;
 
-    /** The share of attempts that fail. */
-    private double failingShare;
+    private double failureRate;
 
-    /** Whether it is there. */
-    private boolean alive = true;
+    private boolean available = true;
 
-    /** The tokens generated. */
     private long generatedTokens;
 
-    /** The prompt tokens read. */
+    /** The prompt tokens processed, without those found in the prefix cache. */
     private long prefilledTokens;
 
-    /**
-     * Creates an engine.
-     *
-     * @param clock The clock.
-     * @param server The server as configured.
-     * @param random The source of randomness.
-     */
     SimulatedEngine(VirtualClock clock, BackendServer server, Random random) {
         this.clock = clock;
         this.server = server;
         this.random = random;
-        this.speed = new EngineSpeed(server.slots(), INTERVAL_MILLIS, 1, PREFILL_TOKENS_PER_SECOND);
+        this.speed = new EngineSpeed(server.slots(), TOKEN_INTERVAL_MILLIS, 1, PREFILL_TOKENS_PER_SECOND);
     }
 
-    /**
-     * Returns the server as configured.
-     *
-     * @return The server.
-     */
     BackendServer server() {
         return server;
     }
 
-    /**
-     * Sets the factor by which it is slowed down.
-     *
-     * @param factor The factor.
-     */
+    /** Sets the factor by which processing is slowed down; 1 is full speed. */
     void setSlowness(double factor) {
         slowness = factor;
     }
 
-    /**
-     * Sets the share of attempts that fail.
-     *
-     * @param share The share from 0 to 1.
-     */
-    void setFailingShare(double share) {
-        failingShare = share;
+    void setFailureRate(double rate) {
+        failureRate = rate;
     }
 
-    /** Vanishes with all that it runs. */
-    void vanish() {
-        alive = false;
+    /** Stops the engine; all its attempts fail. */
+    void stop() {
+        available = false;
         List<EngineAttempt> lost = new ArrayList<>(running);
         lost.addAll(waiting);
         running.clear();
         waiting.clear();
-        lost.forEach(attempt -> clock.after(FAILURE_MILLIS, attempt::fail));
+        lost.forEach(attempt -> clock.after(FAILURE_DETECTION_MILLIS, attempt::fail));
     }
 
-    /** Comes back with an empty cache. */
-    void comeBack() {
-        alive = true;
+    /** Restarts the engine with an empty prefix cache. */
+    void restart() {
+        available = true;
         cache = new PrefixCache(CACHE_TOKENS);
     }
 
-    /**
-     * Returns the tokens generated.
-     *
-     * @return The number.
-     */
     long generatedTokens() {
         return generatedTokens;
     }
 
-    /**
-     * Returns the prompt tokens read, without those that were cached.
-     *
-     * @return The number.
-     */
+    /** Returns the prompt tokens processed, without those found in the prefix cache. */
     long prefilledTokens() {
         return prefilledTokens;
     }
 
-    /**
-     * Takes an attempt.
-     *
-     * @param attempt The attempt.
-     */
     void submit(EngineAttempt attempt) {
-        if (!alive || failingShare > 0 && random.nextDouble() < failingShare) {
-            clock.after(FAILURE_MILLIS, attempt::fail);
+        if (!available || failureRate > 0 && random.nextDouble() < failureRate) {
+            clock.after(FAILURE_DETECTION_MILLIS, attempt::fail);
             return;
         }
         waiting.add(attempt);
         startWaiting();
     }
 
-    /**
-     * Cancels an attempt.
-     *
-     * @param attempt The attempt.
-     */
     void cancel(EngineAttempt attempt) {
         attempt.close();
         waiting.remove(attempt);
@@ -174,13 +126,13 @@
         startWaiting();
     }
 
-    /** Starts waiting attempts while a slot is free. */
+    /** Starts waiting attempts while slots are free. */
     private void startWaiting() {
         while (running.size() < speed.slots() && !waiting.isEmpty()) {
             EngineAttempt attempt = waiting.remove();
             running.add(attempt);
             if (!attempt.isChat()) {
-                clock.after(SERVICE_MILLIS, () -> step(attempt, 1));
+                clock.after(SERVICE_CALL_MILLIS, () -> step(attempt, 1));
                 continue;
             }
             int prompt = attempt.promptTokens();
@@ -191,18 +143,13 @@
         }
     }
 
-    /**
-     * Generates tokens.
-     *
-     * @param attempt The attempt.
-     * @param tokens The number of tokens.
-     */
+    /** Generates tokens and schedules the next step. */
     private void step(EngineAttempt attempt, int tokens) {
         if (attempt.isClosed() || !running.contains(attempt)) {
             return;
         }
         generatedTokens += attempt.isChat() ? tokens : 0;
-        int left = attempt.generated(tokens);
+        int left = attempt.deliver(tokens);
         if (left <= 0) {
             running.remove(attempt);
             attempt.finish();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/TierOrderMonitor.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/TierOrderMonitor.java
@@ -6,165 +6,116 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * Watches a replay from outside for breaches of the order of tiers.
+ * Observes a simulation independently of the policy and counts violations of the tier order.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class TierOrderMonitor {
 
-    /** The time for which a lower-tier request may run on while a higher one is refused in milliseconds. */
-    private static final long GRACE_MILLIS = 2_000;
+    /** The time for which a lower-tier request may continue to run while a higher-tier one is refused. */
+    private static final long PREEMPTION_GRACE_MILLIS = 2_000;
 
-    /** The number of preemptions after which a request runs to its end. */
+    /** The number of preemptions after which a request is no longer preempted. */
     private static final int PREEMPTION_LIMIT = 3;
 
-    /** The time after its deadline at which a request must have its final answer in milliseconds. */
-    private static final long ANSWER_MILLIS = 50;
+    /** The time after its deadline by which a request must have its final answer. */
+    private static final long ANSWER_MARGIN_MILLIS = 50;
 
-    /** The configuration. */
     private final Configuration configuration;
 
-    /** The last start, or the end of idleness, by gateway and class in milliseconds. */
-    private final Map<GatewayClass, Long> servedAtMillis = new HashMap<>();
+    /** The time of the last start, or the last time nothing waited, by gateway and class. */
+    private final Map<GatewayClass, Long> lastStartMillis = new HashMap<>();
 
-    /** The longest time without a start while something waited, by class in milliseconds. */
-    private final Map<String, Long> longestGapMillis = new HashMap<>();
+    /** The longest time without a start while requests waited, by class. */
+    private final Map<String, Long> longestStarvationMillis = new HashMap<>();
 
-    /** The higher-tier requests refused while a lower one ran that could have given way. */
-    private int shedWhileLowerRan;
+    /** The requests refused while a preemptible request of a lower tier ran. */
+    private int shedWhileLowerTierRan;
 
-    /** The requests that were preempted while nothing of a higher tier waited. */
-    private int preemptedForNothing;
+    /** The requests preempted while no request of a higher tier waited. */
+    private int needlessPreemptions;
 
-    /** The requests that were answered late after their deadline. */
-    private int heldAfterDeadline;
+    /** The requests refused too late after their deadline. */
+    private int refusedAfterDeadline;
 
-    /**
-     * Creates a check.
-     *
-     * @param configuration The configuration.
-     */
     TierOrderMonitor(Configuration configuration) {
         this.configuration = configuration;
     }
 
-    /**
-     * Returns the higher-tier requests refused while a lower one ran that could have given way.
-     *
-     * @return The number.
-     */
-    int shedWhileLowerRan() {
-        return shedWhileLowerRan;
+    /** Returns the number of requests refused while a preemptible request of a lower tier ran. */
+    int shedWhileLowerTierRan() {
+        return shedWhileLowerTierRan;
     }
 
-    /**
-     * Returns the requests that were preempted while nothing of a higher tier waited.
-     *
-     * @return The number.
-     */
-    int preemptedForNothing() {
-        return preemptedForNothing;
+    /** Returns the number of requests preempted while no request of a higher tier waited. */
+    int needlessPreemptions() {
+        return needlessPreemptions;
     }
 
-    /**
-     * Returns the requests that were held after their deadline.
-     *
-     * @return The number.
-     */
-    int heldAfterDeadline() {
-        return heldAfterDeadline;
+    /** Returns the number of requests refused more than {@link #ANSWER_MARGIN_MILLIS} after their deadline. */
+    int refusedAfterDeadline() {
+        return refusedAfterDeadline;
     }
 
     /**
-     * Returns the longest time for which a class waited without a start relative to its bound.
-     *
-     * @return The time divided by the target for the first token, of the worst class.
+     * Returns the longest time a class waited without a start, as a multiple of its target for the first token; of the
+     * worst class.
      */
     double worstStarvation() {
         double worst = 0;
         for (ServiceClass serviceClass : configuration.classes()) {
-            long gap = longestGapMillis.getOrDefault(serviceClass.name(), 0L);
-            worst = Math.max(worst, (double) gap / serviceClass.firstTokenTargetMillis());
+            long starvedMillis = longestStarvationMillis.getOrDefault(serviceClass.name(), 0L);
+            worst = Math.max(worst, (double) starvedMillis / serviceClass.firstTokenTargetMillis());
         }
         return worst;
     }
 
-    /**
-     * Notes a start.
-     *
-     * @param nowMillis The present time in milliseconds.
-     * @param gateway The gateway.
-     * @param className The class of the request.
-     */
-    void started(long nowMillis, String gateway, String className) {
-        servedAtMillis.put(new GatewayClass(gateway, className), nowMillis);
+    void onStart(long nowMillis, String gateway, String className) {
+        lastStartMillis.put(new GatewayClass(gateway, className), nowMillis);
     }
 
-    /**
-     * Looks at the waiting classes of a gateway.
-     *
-     * @param nowMillis The present time in milliseconds.
-     * @param gateway The gateway.
-     */
-    void look(long nowMillis, ReplayGateway gateway) {
+    /** Samples how long each class of a gateway has been waiting without a start. */
+    void sampleWaiting(long nowMillis, ReplayGateway gateway) {
         for (ServiceClass serviceClass : configuration.classes()) {
             GatewayClass key = new GatewayClass(gateway.name(), serviceClass.name());
             if (gateway.waiting(serviceClass.name()) == 0) {
-                servedAtMillis.put(key, nowMillis);
+                lastStartMillis.put(key, nowMillis);
                 continue;
             }
-            long gap = nowMillis - servedAtMillis.getOrDefault(key, nowMillis);
-            longestGapMillis.merge(serviceClass.name(), gap, Math::max);
+            long starvedMillis = nowMillis - lastStartMillis.getOrDefault(key, nowMillis);
+            longestStarvationMillis.merge(serviceClass.name(), starvedMillis, Math::max);
         }
     }
 
-    /**
-     * Looks at a refusal.
-     *
-     * @param nowMillis The present time in milliseconds.
-     * @param gateway The gateway that refuses.
-     * @param request The refused request.
-     */
-    void refused(long nowMillis, ReplayGateway gateway, ReplayedRequest request) {
+    void onRefusal(long nowMillis, ReplayGateway gateway, ReplayedRequest request) {
         long waited = nowMillis - request.trace.arrivalMillis();
-        boolean first = request.attempts == 0 && request.callerRetries == 0;
-        if (first && waited > request.serviceClass.longestWaitMillis() + ANSWER_MILLIS) {
-            heldAfterDeadline++;
+        boolean firstTry = request.attempts == 0 && request.callerRetries == 0;
+        if (firstTry && waited > request.serviceClass.longestWaitMillis() + ANSWER_MARGIN_MILLIS) {
+            refusedAfterDeadline++;
         }
         for (EngineAttempt attempt : gateway.attempts()) {
-            boolean lower = attempt.tier() > request.serviceClass.tier()
+            boolean lowerTier = attempt.tier() > request.serviceClass.tier()
                     && attempt.request().trace.model().equals(request.trace.model())
                     && request.isChat();
-            boolean couldGiveWay = attempt.request().preemptions < PREEMPTION_LIMIT
-                    && nowMillis - attempt.startedAtMillis() >= GRACE_MILLIS
+            boolean preemptible = attempt.request().preemptions < PREEMPTION_LIMIT
+                    && nowMillis - attempt.startedAtMillis() >= PREEMPTION_GRACE_MILLIS
                     && !attempt.isOwed();
-            if (lower && couldGiveWay) {
-                shedWhileLowerRan++;
+            if (lowerTier && preemptible) {
+                shedWhileLowerTierRan++;
                 return;
             }
         }
     }
 
-    /**
-     * Looks at a preemption.
-     *
-     * @param gateway The gateway that preempts.
-     * @param attempt The attempt that is stopped.
-     */
-    void preempted(ReplayGateway gateway, EngineAttempt attempt) {
-        boolean higherWaits = configuration.classes().stream()
+    void onPreemption(ReplayGateway gateway, EngineAttempt attempt) {
+        boolean higherTierWaits = configuration.classes().stream()
                 .anyMatch(serviceClass ->
                         serviceClass.tier() < attempt.tier() && gateway.waiting(serviceClass.name()) > 0);
-        if (!higherWaits) {
-            preemptedForNothing++;
+        if (!higherTierWaits) {
+            needlessPreemptions++;
         }
     }
 
-    /**
-     * A class at a gateway.
-     *
-     * @param gateway The gateway.
-     * @param className The class.
-     */
+    /** The key of the waiting times: a class as seen by one gateway. */
     private record GatewayClass(String gateway, String className) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/package-info.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/package-info.java
@@ -1,2 +1,4 @@
-/** Replay of traces on a stepped clock with the deciding code of the gateways, and its comparison with baselines. */
+/**
+ * Simulation of recorded traces on virtual time with the gateways' decision code, compared against baseline policies.
+ */
 package org.cranberrygauge.verification.policy;
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/policy/ReplaySimulationTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/policy/ReplaySimulationTest.java
@@ -31,20 +31,20 @@
     @EnumSource(
             value = TraceProfile.class,
             names = {"QUIET", "DATA_CENTRE_EVICTION", "SLOW_ENGINE", "RETRY_STORM"})
-    void the_stated_outcome_holds(TraceProfile profile) {
+    void our_policy_meets_the_acceptance_criteria(TraceProfile profile) {
         ReplayResult result = replay(profile, PolicyVariant.OURS);
-        assertThat(AcceptanceCriteria.of(profile).misses(result, "field-crew-chat"))
+        assertThat(AcceptanceCriteria.of(profile).unmetCriteria(result, "field-crew-chat"))
                 .isEmpty();
     }
 
     @Test
-    void the_order_checks_see_a_queue_that_knows_no_tiers() {
+    void the_monitor_detects_shedding_by_a_queue_without_tiers() {
         ReplayResult result = replay(TraceProfile.HIGH_TIER_BURST, variant("first-in-first-out"));
-        assertThat(result.shedWhileLowerRan()).isPositive();
+        assertThat(result.shedWhileLowerTierRan()).isPositive();
     }
 
     @Test
-    void the_starvation_check_sees_strict_priority() {
+    void the_monitor_detects_starvation_under_strict_priority() {
         ReplayResult result = replay(TraceProfile.HIGH_TIER_BURST, variant("strict-priority"));
         assertThat(result.worstStarvation()).isGreaterThan(1.5);
     }
