--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/AtMostOnceScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/AtMostOnceScenario.java
@@ -12,65 +12,57 @@
 import org.cranberrygauge.model.record.LogRecord.ReservationRelease;
 
 /**
- * A caller books once, with an idempotency key, and asks again, also at another gateway, whenever it has no answer.
+ * A caller books once with an idempotency key, and retries, also at another gateway, until it has an answer.
  *
- * <p>A message to the ledger is one exchange on a connection, which no network delivers twice; what comes twice is the call
- * of the caller. Executions are counted by the ledger. Used by one thread.
+ * <p>A request to the ledger is one exchange on a connection, which no network delivers twice; only the caller's
+ * request can be duplicated. The ledger counts executions. Not thread-safe.
  */
 final class AtMostOnceScenario implements Scenario {
 
-    /** The length of a run in milliseconds. */
     private static final long RUN_MILLIS = 60_000;
 
-    /** The time after which the caller asks again in milliseconds. */
-    private static final long CALLER_MILLIS = 5_000;
+    /** The time after which the caller retries an unanswered request. */
+    private static final long CALLER_TIMEOUT_MILLIS = 5_000;
 
-    /** The time after which a gateway gives a reservation up in milliseconds. */
-    private static final long RESERVATION_MILLIS = 2_000;
+    /** The time after which a gateway abandons a reservation that it has not read back. */
+    private static final long RESERVATION_TIMEOUT_MILLIS = 2_000;
 
-    /** The time after which a gateway gives the ledger up in milliseconds. */
-    private static final long LEDGER_MILLIS = 3_000;
+    private static final long LEDGER_TIMEOUT_MILLIS = 3_000;
 
-    /** The time between an answer that settles nothing and the next attempt in milliseconds. */
-    private static final long AGAIN_MILLIS = 1_000;
+    /** The time between an inconclusive answer and the caller's next attempt. */
+    private static final long CALLER_RETRY_MILLIS = 1_000;
 
-    /** The highest number of attempts. */
-    private static final int ATTEMPTS = 10;
+    private static final int MAXIMUM_ATTEMPTS = 10;
 
     /** The answer that belongs to another call. */
-    private static final String OTHERS_ANSWER = "another call";
+    private static final String MISDELIVERED_ANSWER = "another call";
 
-    /** The answer of a ledger server that takes no connection. */
+    /** The result of a call to a ledger server that accepts no connection. */
     private static final String NO_CONNECTION = "no connection";
 
-    /** The gateways. */
     private final List<Gateway> gateways = new ArrayList<>();
 
     /** The executions by attempt, as counted by the ledger. */
     private final Map<String, Integer> executions = new HashMap<>();
 
-    /** The attempts that were told that they did not run. */
-    private final List<String> toldNotRun = new ArrayList<>();
+    /** The attempts whose refusal stated that the call was not run. */
+    private final List<String> refusedAsNotRun = new ArrayList<>();
 
-    /** The world. */
-    private SimulationContext world;
+    private SimulationContext context;
 
-    /** The number of attempts so far. */
     private int attempts;
 
-    /** The number of attempts that were refused or told that the outcome is unknown. */
+    /** The number of attempts that were refused or whose outcome was reported as unknown. */
     private int refused;
 
-    /** The answer that the caller got, or null. */
     private String answer;
 
-    /** The time at which the caller got it in milliseconds. */
+    /** The time of the answer; the end of the run if there was none. */
     private long answeredAtMillis = RUN_MILLIS;
 
-    /** The time of the first attempt in milliseconds. */
     private long firstAttemptMillis;
 
-    /** Whether the first ledger server is gone. */
+    /** Whether the first ledger server is evicted. */
     private boolean evicted;
 
     @Override
@@ -79,105 +71,88 @@
     }
 
     @Override
-    public List<Finding> run(SimulationContext present) {
-        world = present;
+    public List<Finding> run(SimulationContext runContext) {
+        context = runContext;
         gateways.add(new Gateway("gateway-0"));
         gateways.add(new Gateway("gateway-1"));
-        SimulatedProcess operator = world.process("operator");
-        LogClient operatorLog = new LogClient(world, operator, effect -> {});
-        world.onFaults(
+        SimulatedProcess operator = context.process("operator");
+        LogClient operatorLog = new LogClient(context, operator, applied -> {});
+        context.onFaults(
                 () -> evicted = true,
                 () -> operatorLog.append(new ReservationRelease("attempt-1", "operator")),
-                process -> gateways.forEach(gateway -> gateway.crossed |= gateway.process == process));
-        world.timeline().after(AGAIN_MILLIS, this::attempt);
-        world.timeline().runUntil(RUN_MILLIS);
-        int runs = executions();
-        boolean lied = toldNotRun.stream().anyMatch(executions::containsKey);
+                process -> gateways.forEach(gateway -> gateway.misdeliverNext |= gateway.process == process));
+        context.scheduler().after(CALLER_RETRY_MILLIS, this::attempt);
+        context.scheduler().runUntil(RUN_MILLIS);
+        int executed = executions();
+        boolean ranAfterRefusal = refusedAsNotRun.stream().anyMatch(executions::containsKey);
         boolean unanswered = answer == null;
         return List.of(
-                Finding.of(Invariant.AT_MOST_ONCE, runs > 1, unanswered, "executions " + runs + ", answer " + answer),
                 Finding.of(
-                        Invariant.NOT_RUN_IS_TRUE, lied, false, "told not run " + toldNotRun + ", ran " + executions),
-                Finding.of(Invariant.OWN_ANSWER, OTHERS_ANSWER.equals(answer), unanswered, "answer " + answer));
+                        Invariant.AT_MOST_ONCE,
+                        executed > 1,
+                        unanswered,
+                        "executions " + executed + ", answer " + answer),
+                Finding.of(
+                        Invariant.NOT_RUN_IS_TRUE,
+                        ranAfterRefusal,
+                        false,
+                        "refused as not run " + refusedAsNotRun + ", ran " + executions),
+                Finding.of(Invariant.OWN_ANSWER, MISDELIVERED_ANSWER.equals(answer), unanswered, "answer " + answer));
     }
 
-    /**
-     * Returns the number of executions.
-     *
-     * @return The number.
-     */
     int executions() {
         return executions.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /**
-     * Returns the number of attempts that were refused or told that the outcome is unknown.
-     *
-     * @return The number.
-     */
+    /** Returns the number of attempts that were refused or whose outcome was reported as unknown. */
     int refused() {
         return refused;
     }
 
-    /**
-     * Tells whether the caller got an answer.
-     *
-     * @return Whether it did.
-     */
     boolean isAnswered() {
         return answer != null;
     }
 
-    /**
-     * Returns the time from the first attempt to the answer.
-     *
-     * @return The time in milliseconds.
-     */
+    /** Returns the time from the first attempt to the answer, in milliseconds. */
     long answerMillis() {
         return answeredAtMillis - firstAttemptMillis;
     }
 
-    /** Sends the call: twice to one gateway, then to the other, and past one that takes no connection. */
+    /** Sends the call: twice to each gateway in turn, and to the other one if it accepts no connection. */
     private void attempt() {
-        if (answer != null || attempts == ATTEMPTS) {
+        if (answer != null || attempts == MAXIMUM_ATTEMPTS) {
             return;
         }
         attempts++;
-        firstAttemptMillis = attempts == 1 ? world.now() : firstAttemptMillis;
+        firstAttemptMillis = attempts == 1 ? context.now() : firstAttemptMillis;
         int number = attempts;
         Gateway preferred = gateways.get((number - 1) / 2 % gateways.size());
         Gateway gateway = preferred.process.answers() ? preferred : gateways.get(1 - gateways.indexOf(preferred));
         if (gateway.process.answers()) {
             gateway.process.run(1, () -> gateway.receive("attempt-" + number));
         }
-        world.timeline().after(CALLER_MILLIS, () -> {
+        context.scheduler().after(CALLER_TIMEOUT_MILLIS, () -> {
             if (attempts == number) {
                 attempt();
             }
         });
     }
 
-    /**
-     * Takes an answer at the caller.
-     *
-     * @param attempt The attempt.
-     * @param result The answer, or null for a refusal.
-     * @param notRun Whether the refusal says that the call was not run.
-     */
-    private void take(String attempt, String result, boolean notRun) {
-        world.timeline().note("caller: " + attempt + " got " + result + (notRun ? ", not run" : ""));
+    /** Handles a reply at the caller; the result is null for a refusal. */
+    private void onReply(String attempt, String result, boolean notRun) {
+        context.scheduler().trace("caller: " + attempt + " got " + result + (notRun ? ", not run" : ""));
         if (result != null) {
-            answeredAtMillis = answer == null ? world.now() : answeredAtMillis;
+            answeredAtMillis = answer == null ? context.now() : answeredAtMillis;
             answer = result;
             return;
         }
         refused++;
         if (notRun) {
-            toldNotRun.add(attempt);
+            refusedAsNotRun.add(attempt);
         }
         if (attempt.equals("attempt-" + attempts)) {
             int number = attempts;
-            world.timeline().after(AGAIN_MILLIS, () -> {
+            context.scheduler().after(CALLER_RETRY_MILLIS, () -> {
                 if (attempts == number) {
                     attempt();
                 }
@@ -185,232 +160,160 @@
         }
     }
 
-    /**
-     * Runs a call on the ledger.
-     *
-     * @param attempt The attempt.
-     * @return The answer.
-     */
+    /** Executes a call on the ledger and returns its answer. */
     private String execute(String attempt) {
         if (evicted && attempt.equals("attempt-1")) {
             return NO_CONNECTION;
         }
         executions.merge(attempt, 1, Integer::sum);
-        world.timeline().note("ledger runs " + attempt);
+        context.scheduler().trace("ledger runs " + attempt);
         return attempt;
     }
 
-    /** One gateway. */
+    /** A simulated gateway, which reserves calls in the log, dispatches them and records their outcomes. */
     private final class Gateway {
 
-        /** The process. */
         private final SimulatedProcess process;
 
-        /** The log. */
         private final LogClient log;
 
-        /** The attempts whose reservation was not read back, by identifier of the reservation. */
-        private final Map<String, Boolean> waiting = new HashMap<>();
+        /** The attempts whose reservation has not been read back, by reservation identifier. */
+        private final Map<String, Boolean> unconfirmedReservations = new HashMap<>();
 
-        /** The outcome of the call if only the gateway remembers, by key. */
-        private final Map<String, String> memory = new HashMap<>();
+        /** The answers by idempotency key where only the gateway remembers them; empty while in progress. */
+        private final Map<String, String> rememberedAnswers = new HashMap<>();
 
-        /** Whether the next answer belongs to another call. */
-        private boolean crossed;
+        /** Whether the next answer from the ledger is one that belongs to another call. */
+        private boolean misdeliverNext;
 
-        /**
-         * Creates a gateway.
-         *
-         * @param name The name.
-         */
         private Gateway(String name) {
-            process = world.process(name);
-            log = new LogClient(world, process, this::onEffect);
+            process = context.process(name);
+            log = new LogClient(context, process, this::onApplied);
         }
 
-        /**
-         * Takes a call.
-         *
-         * @param attempt The attempt.
-         */
         private void receive(String attempt) {
-            if (!world.on(Mechanism.RESERVATION)) {
-                receiveUnreserved(attempt);
+            if (!context.isEnabled(Mechanism.RESERVATION)) {
+                receiveWithoutReservation(attempt);
                 return;
             }
             log.state()
                     .reservations()
                     .lookup("customer", "/bookings", "key", "body")
-                    .ifPresentOrElse(known -> judged(attempt, known), () -> reserve(attempt));
+                    .ifPresentOrElse(remembered -> onDecision(attempt, remembered), () -> reserve(attempt));
         }
 
-        /**
-         * Takes a call without a reservation.
-         *
-         * @param attempt The attempt.
-         */
-        private void receiveUnreserved(String attempt) {
-            if (!world.on(Mechanism.GATEWAY_MEMORY)) {
-                world.step(process, Step.RESERVE, () -> dispatch(attempt));
+        /** Handles a call without a reservation in the log. */
+        private void receiveWithoutReservation(String attempt) {
+            if (!context.isEnabled(Mechanism.GATEWAY_MEMORY)) {
+                context.step(process, Step.RESERVE, () -> dispatch(attempt));
                 return;
             }
-            String known = memory.putIfAbsent("key", "");
-            if (known == null) {
-                world.step(process, Step.RESERVE, () -> dispatch(attempt));
+            String remembered = rememberedAnswers.putIfAbsent("key", "");
+            if (remembered == null) {
+                context.step(process, Step.RESERVE, () -> dispatch(attempt));
             } else {
-                reply(attempt, known.isEmpty() ? null : known, false);
+                reply(attempt, remembered.isEmpty() ? null : remembered, false);
             }
         }
 
-        /**
-         * Reserves a call.
-         *
-         * @param attempt The attempt.
-         */
         private void reserve(String attempt) {
-            world.step(process, Step.RESERVE, () -> {
-                waiting.put(attempt, true);
+            context.step(process, Step.RESERVE, () -> {
+                unconfirmedReservations.put(attempt, true);
                 log.append(new Reservation(attempt, "customer", "/bookings", "key", "body", process.name(), 0));
-                process.run(RESERVATION_MILLIS, () -> giveUp(attempt));
+                process.run(RESERVATION_TIMEOUT_MILLIS, () -> expireReservation(attempt));
             });
         }
 
-        /**
-         * Gives up a reservation that was not read back in time.
-         *
-         * @param attempt The attempt.
-         */
-        private void giveUp(String attempt) {
-            if (waiting.remove(attempt) != null) {
+        /** Abandons a reservation that was not read back in time. */
+        private void expireReservation(String attempt) {
+            if (unconfirmedReservations.remove(attempt) != null) {
                 record(attempt, Disposition.NOT_RUN);
                 reply(attempt, null, true);
             }
         }
 
-        /**
-         * Takes what became of a record.
-         *
-         * @param effect The effect.
-         */
-        private void onEffect(ApplyResult effect) {
-            if (effect instanceof ApplyResult.ReservationResult judged
-                    && waiting.remove(judged.reservationId()) != null) {
-                judged(judged.reservationId(), judged.verdict());
+        /** Handles the result of applying a log record. */
+        private void onApplied(ApplyResult applied) {
+            if (applied instanceof ApplyResult.ReservationResult result
+                    && unconfirmedReservations.remove(result.reservationId()) != null) {
+                onDecision(result.reservationId(), result.verdict());
             }
         }
 
-        /**
-         * Acts on a verdict.
-         *
-         * @param attempt The attempt.
-         * @param verdict The verdict.
-         */
-        private void judged(String attempt, ReservationDecision verdict) {
-            if (verdict == ReservationDecision.Won.INSTANCE) {
+        /** Dispatches the call, repeats its recorded answer or refuses it. */
+        private void onDecision(String attempt, ReservationDecision decision) {
+            if (decision == ReservationDecision.Won.INSTANCE) {
                 dispatch(attempt);
-            } else if (verdict instanceof ReservationDecision.Answered answered) {
+            } else if (decision instanceof ReservationDecision.Answered answered) {
                 reply(attempt, answered.outcome().body(), false);
             } else {
                 reply(attempt, null, false);
             }
         }
 
-        /**
-         * Sends a call to the ledger.
-         *
-         * @param attempt The attempt.
-         */
         private void dispatch(String attempt) {
-            world.step(process, Step.DISPATCH, () -> {
-                while (process.takesDouble()) {
-                    world.timeline().after(1, AtMostOnceScenario.this::attempt);
+            context.step(process, Step.DISPATCH, () -> {
+                while (process.consumeDuplicate()) {
+                    context.scheduler().after(1, AtMostOnceScenario.this::attempt);
                 }
-                world.call(
+                context.call(
                         process,
                         () -> execute(attempt),
-                        result -> answered(attempt, result),
-                        () -> unknown(attempt),
-                        LEDGER_MILLIS);
+                        result -> onLedgerAnswer(attempt, result),
+                        () -> completeAsUnknown(attempt),
+                        LEDGER_TIMEOUT_MILLIS);
             });
         }
 
-        /**
-         * Takes the answer of the ledger.
-         *
-         * @param attempt The attempt.
-         * @param result The answer.
-         */
-        private void answered(String attempt, String result) {
+        private void onLedgerAnswer(String attempt, String result) {
             if (result.equals(NO_CONNECTION)) {
-                memory.remove("key");
+                rememberedAnswers.remove("key");
                 record(attempt, Disposition.NOT_RUN);
                 reply(attempt, null, true);
                 return;
             }
-            world.step(
+            context.step(
                     process,
                     Step.FIRST_BYTE,
                     () -> process.run(
                             1,
-                            () -> world.step(
+                            () -> context.step(
                                     process,
                                     Step.LAST_BYTE,
-                                    () -> complete(attempt, crossed ? OTHERS_ANSWER : result))));
+                                    () -> complete(attempt, misdeliverNext ? MISDELIVERED_ANSWER : result))));
         }
 
-        /**
-         * Completes a call.
-         *
-         * @param attempt The attempt.
-         * @param result The answer.
-         */
+        /** Records the answer and sends it to the caller. */
         private void complete(String attempt, String result) {
-            crossed = false;
-            if (world.on(Mechanism.ATTEMPT_CHECK) && !result.equals(attempt)) {
-                unknown(attempt);
+            misdeliverNext = false;
+            if (context.isEnabled(Mechanism.ATTEMPT_CHECK) && !result.equals(attempt)) {
+                completeAsUnknown(attempt);
                 return;
             }
-            memory.put("key", result);
-            world.step(process, Step.RECORD, () -> {
-                if (world.on(Mechanism.RESERVATION)) {
+            rememberedAnswers.put("key", result);
+            context.step(process, Step.RECORD, () -> {
+                if (context.isEnabled(Mechanism.RESERVATION)) {
                     log.append(new ReservationOutcome(attempt, Disposition.ANSWERED, 200, "text/plain", result, true));
                 }
                 reply(attempt, result, false);
             });
         }
 
-        /**
-         * Ends a call whose outcome is unknown.
-         *
-         * @param attempt The attempt.
-         */
-        private void unknown(String attempt) {
+        private void completeAsUnknown(String attempt) {
             record(attempt, Disposition.UNKNOWN);
             reply(attempt, null, false);
         }
 
-        /**
-         * Records an outcome without an answer.
-         *
-         * @param attempt The attempt.
-         * @param disposition The outcome.
-         */
         private void record(String attempt, Disposition disposition) {
-            if (world.on(Mechanism.RESERVATION)) {
+            if (context.isEnabled(Mechanism.RESERVATION)) {
                 log.append(new ReservationOutcome(attempt, disposition, 0, "", "", false));
             }
         }
 
-        /**
-         * Answers the caller, if it can be reached.
-         *
-         * @param attempt The attempt.
-         * @param result The answer, or null for a refusal.
-         * @param notRun Whether the refusal says that the call was not run.
-         */
+        /** Replies to the caller if it can be reached; the result is null for a refusal. */
         private void reply(String attempt, String result, boolean notRun) {
             if (process.answers()) {
-                world.timeline().after(1, () -> take(attempt, result, notRun));
+                context.scheduler().after(1, () -> onReply(attempt, result, notRun));
             }
         }
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Cell.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Cell.java
@@ -6,24 +6,18 @@
 import java.util.Set;
 
 /**
- * One run of the matrix.
+ * One run of the matrix: a protocol, the faults injected into it and a seed.
  *
- * @param protocol The protocol.
- * @param injections The faults with their steps.
- * @param seed The seed of message times.
+ * @param injections The faults with the steps at which they are injected.
+ * @param seed The seed of message latencies.
  */
 record Cell(Protocol protocol, List<FaultInjection> injections, long seed) {
 
-    /** Copies the list. */
     Cell {
         injections = List.copyOf(injections);
     }
 
-    /**
-     * Returns every fault at every step of every protocol, before and after the step, and each protocol without a fault.
-     *
-     * @return The cells.
-     */
+    /** Returns a cell for each protocol without a fault, and one for every fault before and after every step of it. */
     static List<Cell> singles() {
         List<Cell> cells = new ArrayList<>();
         for (Protocol protocol : Protocol.values()) {
@@ -35,12 +29,7 @@
         return cells;
     }
 
-    /**
-     * Returns pairs of faults, drawn by seed.
-     *
-     * @param seeds The number of pairs for each protocol.
-     * @return The cells.
-     */
+    /** Returns the given number of cells per protocol, each with two faults chosen by its seed. */
     static List<Cell> pairs(int seeds) {
         List<Cell> cells = new ArrayList<>();
         for (Protocol protocol : Protocol.values()) {
@@ -55,30 +44,18 @@
         return cells;
     }
 
-    /**
-     * Runs the cell.
-     *
-     * @param off The mechanisms that are off.
-     * @return What it showed.
-     */
     CellResult run(Set<Mechanism> off) {
-        SimulationContext world = new SimulationContext(injections, off, seed);
+        SimulationContext context = new SimulationContext(injections, off, seed);
         Scenario scenario = protocol.scenario();
-        List<Finding> findings = scenario.run(world);
+        List<Finding> findings = scenario.run(context);
         return new CellResult(
                 this,
                 scenario,
                 findings,
-                world.notReached() == 0,
-                world.timeline().trace());
+                context.notReached() == 0,
+                context.scheduler().trace());
     }
 
-    /**
-     * Returns every fault at every step of a protocol.
-     *
-     * @param protocol The protocol.
-     * @return The injections.
-     */
     private static List<FaultInjection> injections(Protocol protocol) {
         List<FaultInjection> injections = new ArrayList<>();
         for (Step step : protocol.scenario().steps()) {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
@@ -8,64 +8,54 @@
 import org.cranberrygauge.model.record.LogRecord;
 
 /**
- * A backend server is emptied and handed back while three gateways send requests.
+ * A backend server is drained and handed back while three gateways send it requests.
  *
- * <p>Requests are counted by the backend server. Used by one thread.
+ * <p>The backend server counts requests. Not thread-safe.
  */
 final class DrainScenario implements Scenario {
 
-    /** The length of a run in milliseconds. */
     private static final long RUN_MILLIS = 40_000;
 
-    /** The time of the drain in milliseconds. */
     private static final long DRAIN_AT_MILLIS = 5_000;
 
-    /** The time after the log took the drain by which new work ends in milliseconds. */
-    private static final long FEW_SECONDS_MILLIS = 5_000;
+    /** The time after the append of the drain from which no new request may begin. */
+    private static final long NEW_REQUEST_LIMIT_MILLIS = 5_000;
 
-    /** The time between two requests of a gateway in milliseconds. */
+    /** The interval between two requests of a gateway. */
     private static final long REQUEST_MILLIS = 150;
 
-    /** The time that a request runs in milliseconds. */
-    private static final long RUN_TIME_MILLIS = 2_000;
+    private static final long REQUEST_DURATION_MILLIS = 2_000;
 
-    /** The time between two looks in milliseconds. */
-    private static final long ROUND_MILLIS = 200;
+    /** The interval between two checks whether the backend server is drained. */
+    private static final long CHECK_MILLIS = 200;
 
-    /** The freshness bound in milliseconds. */
     private static final long FRESHNESS_MILLIS = 3_000;
 
-    /** The backend server that is emptied. */
     private static final String SERVER = "server-0";
 
-    /** The gateways. */
     private final List<Gateway> gateways = new ArrayList<>();
 
-    /** The world. */
-    private SimulationContext world;
+    private SimulationContext context;
 
-    /** The process that empties the backend server. */
+    /** The process that drains the backend server. */
     private SimulatedProcess controller;
 
-    /** Its view of the log. */
     private LogClient log;
 
     /** The number of requests that run on the backend server. */
     private int running;
 
-    /** Whether the backend server was handed back. */
     private boolean handedBack;
 
-    /** Whether the backend server was evicted. */
     private boolean evicted;
 
-    /** The number of requests that were cut by the hand-back. */
-    private int cut;
+    /** The number of requests that the hand-back interrupted. */
+    private int interrupted;
 
     /** The number of requests that began too late after the drain. */
     private int late;
 
-    /** The number of those that were sent before a pause or delay between choice and arrival. */
+    /** The number of late requests that were already in flight, paused or delayed between choice and arrival. */
     private int lateInFlight;
 
     @Override
@@ -74,121 +64,106 @@
     }
 
     @Override
-    public List<Finding> run(SimulationContext present) {
-        world = present;
-        controller = world.process("controller");
-        log = new LogClient(world, controller, effect -> {});
+    public List<Finding> run(SimulationContext runContext) {
+        context = runContext;
+        controller = context.process("controller");
+        log = new LogClient(context, controller, applied -> {});
         for (int number = 0; number < 3; number++) {
             gateways.add(new Gateway("gateway-" + number));
         }
-        SimulatedProcess operator = world.process("operator");
-        LogClient operatorLog = new LogClient(world, operator, effect -> {});
-        world.onFaults(
+        SimulatedProcess operator = context.process("operator");
+        LogClient operatorLog = new LogClient(context, operator, applied -> {});
+        context.onFaults(
                 () -> {
                     evicted = true;
                     running = 0;
                 },
                 () -> operatorLog.append(new LogRecord.DrainEnded("drain", DrainState.OPERATOR)),
                 process -> {});
-        controller.run(DRAIN_AT_MILLIS - world.now(), () -> world.step(controller, Step.DRAIN_START, this::start));
-        world.timeline().runUntil(RUN_MILLIS);
-        String counted =
-                "cut " + cut + ", late " + late + ", of them in flight " + lateInFlight + ", handed back " + handedBack;
-        boolean given = !handedBack && !evicted;
+        controller.run(DRAIN_AT_MILLIS - context.now(), () -> context.step(controller, Step.DRAIN_START, this::start));
+        context.scheduler().runUntil(RUN_MILLIS);
+        String counted = "cut " + interrupted + ", late " + late + ", of them in flight " + lateInFlight
+                + ", handed back " + handedBack;
+        boolean notHandedBack = !handedBack && !evicted;
         return List.of(
-                Finding.of(Invariant.NO_NEW_WORK, late > lateInFlight, late > 0 || given, counted),
-                Finding.of(Invariant.NO_CUT, cut > 0, given, counted));
+                Finding.of(Invariant.NO_NEW_WORK, late > lateInFlight, late > 0 || notHandedBack, counted),
+                Finding.of(Invariant.NO_CUT, interrupted > 0, notHandedBack, counted));
     }
 
-    /** Writes the drain to the log. */
+    /** Appends the drain to the log. */
     private void start() {
         log.append(new LogRecord.DrainStarted("drain", DrainState.OPERATOR, Set.of(SERVER), "cleaning"));
-        controller.run(ROUND_MILLIS, () -> world.step(controller, Step.DRAIN_WAIT, this::await));
+        controller.run(CHECK_MILLIS, () -> context.step(controller, Step.DRAIN_WAIT, this::awaitDrained));
     }
 
-    /** Awaits the gateways and the running requests. */
-    private void await() {
+    /** Waits until all gateways apply the drain and no request runs, then hands the backend server back. */
+    private void awaitDrained() {
         boolean drained = log.state().drains().isDrained(SERVER);
-        boolean quiet = running == 0 && gateways.stream().allMatch(Gateway::isEmptied);
-        boolean ready = drained && !controller.isCut() && quiet;
-        if (ready || !world.on(Mechanism.DRAIN)) {
-            world.step(controller, Step.HAND_BACK, this::handBack);
+        boolean idle = running == 0 && gateways.stream().allMatch(Gateway::isDrainedOrDead);
+        boolean ready = drained && !controller.isPartitioned() && idle;
+        if (ready || !context.isEnabled(Mechanism.DRAIN)) {
+            context.step(controller, Step.HAND_BACK, this::handBack);
             return;
         }
-        controller.run(ROUND_MILLIS, this::await);
+        controller.run(CHECK_MILLIS, this::awaitDrained);
     }
 
-    /** Hands the backend server back. */
     private void handBack() {
         if (!evicted) {
-            cut += running;
+            interrupted += running;
             handedBack = true;
-            world.timeline().note("handed back with " + running + " running");
+            context.scheduler().trace("handed back with " + running + " running");
         }
     }
 
-    /**
-     * Takes a request at the backend server.
-     *
-     * @param chosenAtMillis The time at which the gateway chose the backend server in milliseconds.
-     * @return Whether it was taken.
-     */
-    private boolean take(long chosenAtMillis) {
+    /** Handles a request at the backend server and tells whether it was accepted. */
+    private boolean accept(long chosenAtMillis) {
         if (handedBack || evicted) {
             return false;
         }
-        boolean ended = world.log().timeOf(LogRecord.DrainEnded.class) < world.now();
-        long fromMillis = world.log().timeOf(LogRecord.DrainStarted.class);
-        if (!ended && world.now() - FEW_SECONDS_MILLIS > fromMillis) {
+        boolean ended = context.log().timeOf(LogRecord.DrainEnded.class) < context.now();
+        long fromMillis = context.log().timeOf(LogRecord.DrainStarted.class);
+        if (!ended && context.now() - NEW_REQUEST_LIMIT_MILLIS > fromMillis) {
             late++;
-            lateInFlight += chosenAtMillis - FEW_SECONDS_MILLIS <= fromMillis ? 1 : 0;
-            world.timeline().note("late request, chosen at " + chosenAtMillis);
+            lateInFlight += chosenAtMillis - NEW_REQUEST_LIMIT_MILLIS <= fromMillis ? 1 : 0;
+            context.scheduler().trace("late request, chosen at " + chosenAtMillis);
         }
         running++;
-        world.timeline().after(RUN_TIME_MILLIS, () -> running = Math.max(0, running - 1));
+        context.scheduler().after(REQUEST_DURATION_MILLIS, () -> running = Math.max(0, running - 1));
         return true;
     }
 
-    /** One gateway. */
+    /** A simulated gateway, which sends requests to the backend server until it applies the drain. */
     private final class Gateway {
 
-        /** The process. */
         private final SimulatedProcess process;
 
-        /** The log. */
         private final LogClient log;
 
-        /** The requests under way to the backend server. */
-        private int underWay;
+        /** The requests in flight to the backend server. */
+        private int inFlight;
 
-        /**
-         * Creates a gateway and starts it.
-         *
-         * @param name The name.
-         */
         private Gateway(String name) {
-            process = world.process(name);
-            log = new LogClient(world, process, effect -> {});
+            process = context.process(name);
+            log = new LogClient(context, process, applied -> {});
             log.append(new LogRecord.GatewayJoined(name, "host-" + name, "data-centre", "address"));
             process.every(REQUEST_MILLIS, this::request);
         }
 
         /**
-         * Tells whether this gateway applied the drain and has nothing under way to the backend server, or is dead.
-         *
-         * @return Whether it is emptied.
+         * Tells whether this gateway is dead, or applied the drain and has nothing in flight to the backend server.
          */
-        private boolean isEmptied() {
+        private boolean isDrainedOrDead() {
             if (process.isDead()) {
                 return true;
             }
-            return process.answers() && underWay == 0 && log.state().drains().isDrained(SERVER);
+            return process.answers() && inFlight == 0 && log.state().drains().isDrained(SERVER);
         }
 
-        /** Sends a request to the backend server unless it is drained. */
+        /** Sends a request unless the backend server is drained or this gateway may not admit. */
         private void request() {
             boolean admits = AdmissionFreshness.Default.INSTANCE.mayAdmit(
-                    world.now(),
+                    context.now(),
                     new AdmissionFreshness.View(
                             log.endReadAtMillis(),
                             FRESHNESS_MILLIS,
@@ -200,31 +175,27 @@
             if (!admits || log.state().drains().isDrained(SERVER)) {
                 return;
             }
-            long chosenAtMillis = world.now();
-            underWay++;
-            if (world.now() > DRAIN_AT_MILLIS - REQUEST_MILLIS) {
-                world.step(process, Step.DRAIN_APPLY, () -> send(chosenAtMillis));
+            long chosenAtMillis = context.now();
+            inFlight++;
+            if (context.now() > DRAIN_AT_MILLIS - REQUEST_MILLIS) {
+                context.step(process, Step.DRAIN_APPLY, () -> send(chosenAtMillis));
             } else {
                 send(chosenAtMillis);
             }
         }
 
-        /**
-         * Sends a request.
-         *
-         * @param chosenAtMillis The time at which the backend server was chosen in milliseconds.
-         */
         private void send(long chosenAtMillis) {
-            world.call(process, () -> take(chosenAtMillis), taken -> ended(taken), () -> underWay--, RUN_TIME_MILLIS);
+            context.call(
+                    process,
+                    () -> accept(chosenAtMillis),
+                    accepted -> ended(accepted),
+                    () -> inFlight--,
+                    REQUEST_DURATION_MILLIS);
         }
 
-        /**
-         * Waits for the end of a request.
-         *
-         * @param taken Whether the backend server took it.
-         */
-        private void ended(boolean taken) {
-            process.run(taken ? RUN_TIME_MILLIS : 0, () -> underWay--);
+        /** Waits for the end of a request. */
+        private void ended(boolean accepted) {
+            process.run(accepted ? REQUEST_DURATION_MILLIS : 0, () -> inFlight--);
         }
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FakeLog.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FakeLog.java
@@ -6,75 +6,47 @@
 import org.cranberrygauge.model.record.LogRecord;
 
 /**
- * The append-only log of a scenario.
+ * The append-only log of a scenario, in memory.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class FakeLog {
 
-    /** The clock. */
-    private final VirtualScheduler timeline;
+    private final VirtualScheduler scheduler;
 
-    /** The entries. */
     private final List<Stored> entries = new ArrayList<>();
 
-    /** The end of the outage in milliseconds. */
     private long downUntilMillis;
 
-    /**
-     * Creates an empty log.
-     *
-     * @param timeline The clock.
-     */
-    FakeLog(VirtualScheduler timeline) {
-        this.timeline = timeline;
+    FakeLog(VirtualScheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
-    /**
-     * Begins an outage.
-     *
-     * @param millis Its length in milliseconds.
-     */
+    /** Begins an outage of the given length. */
     void fail(long millis) {
-        downUntilMillis = timeline.now() + millis;
-        timeline.note("log fails");
+        downUntilMillis = scheduler.now() + millis;
+        scheduler.trace("log becomes unavailable");
     }
 
-    /**
-     * Tells whether the log is down.
-     *
-     * @return Whether it is.
-     */
     boolean isDown() {
-        return timeline.now() < downUntilMillis;
+        return scheduler.now() < downUntilMillis;
     }
 
-    /**
-     * Appends an entry.
-     *
-     * @param entry The entry.
-     * @return The offset.
-     */
     long append(LogEntry entry) {
-        entries.add(new Stored(timeline.now(), entry));
-        timeline.note("log " + entries.size() + " " + entry.writer() + "#" + entry.sequence() + " " + entry.records());
+        entries.add(new Stored(scheduler.now(), entry));
+        scheduler.trace(
+                "log " + entries.size() + " " + entry.writer() + "#" + entry.sequence() + " " + entry.records());
         return entries.size();
     }
 
-    /**
-     * Returns the offset of the newest entry.
-     *
-     * @return The offset; 0 before any.
-     */
+    /** Returns the offset of the newest entry; 0 if there is none. */
     long endOffset() {
         return entries.size();
     }
 
     /**
-     * Returns the time at which the first record of a type was appended.
-     *
-     * @param type The type.
-     * @return The time in milliseconds, or the largest time if there is none.
+     * Returns the time in milliseconds at which the first record of a type was appended; the largest long if there is
+     * none.
      */
     long timeOf(Class<? extends LogRecord> type) {
         return entries.stream()
@@ -84,21 +56,10 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /**
-     * Returns an entry.
-     *
-     * @param offset The offset.
-     * @return The entry.
-     */
     Stored entry(long offset) {
         return entries.get((int) offset - 1);
     }
 
-    /**
-     * An entry with its time.
-     *
-     * @param appendedAtMillis The time of the append in milliseconds.
-     * @param entry The entry.
-     */
+    /** An appended entry with its time. */
     record Stored(long appendedAtMillis, LogEntry entry) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Fault.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Fault.java
@@ -1,24 +1,24 @@
 package org.cranberrygauge.verification.faults;
 
-/** The faults that are injected. */
+/** The faults that the matrix injects. */
 enum Fault {
-    /** The process dies. */
+    /** The process is killed. */
     KILL,
-    /** The process is frozen for longer than a lease and thaws. */
+    /** The process is paused for longer than a lease, then resumes. */
     FREEZE,
-    /** The process reaches nobody for a time. */
+    /** The process is partitioned from all others for a time. */
     CUT,
-    /** What the step sends arrives seconds later. */
+    /** The message that the step sends is delayed by seconds. */
     SLOW,
     /** The step takes effect and its answer is lost. */
     LOST_ANSWER,
-    /** What the step sends is delivered twice. */
+    /** The message that the step sends is delivered twice. */
     DUPLICATE,
-    /** The step gets the answer that belongs to another. */
+    /** The step receives the answer to another request. */
     CROSSED_ANSWER,
-    /** The log takes and gives nothing for a time. */
+    /** The log is unavailable for a time. */
     LOG_OUTAGE,
-    /** The backend servers of a data centre vanish. */
+    /** The backend servers of a data centre are evicted. */
     EVICTION,
     /** A second operator acts at the same moment. */
     OPERATOR_RACE
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultInjection.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultInjection.java
@@ -1,11 +1,10 @@
 package org.cranberrygauge.verification.faults;
 
 /**
- * A fault at a step.
+ * A fault injected at a step.
  *
- * @param fault The fault.
- * @param step The step, when it is first reached.
- * @param after Whether the fault comes right after the step rather than right before.
+ * @param step The step; the fault is injected when it is first reached.
+ * @param after Whether the fault is injected right after the step rather than right before.
  */
 record FaultInjection(Fault fault, Step step, boolean after) {
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultMatrixMain.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultMatrixMain.java
@@ -15,52 +15,44 @@
 /**
  * Runs the fault matrix and writes its page.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 public final class FaultMatrixMain {
 
-    /** The highest number of failed cells that are printed with their trace. */
+    /** The maximum number of failed cells printed with their trace. */
     private static final int PRINTED_FAILURES = 3;
 
-    /** The exit status of a run that did not show what it should. */
+    /** The exit status if an invariant was violated, or if none was although a mechanism is off. */
     private static final int FAILED = 1;
 
-    /** The exit status of wrong settings. */
-    private static final int WRONG_SETTINGS = 2;
+    /** The exit status for invalid arguments. */
+    private static final int INVALID_ARGUMENTS = 2;
 
-    /** The number of pairs of faults for each protocol. */
     @Parameter(names = "--seeds", description = "Number of pairs of faults for each protocol")
     private int seeds = 1_000;
 
-    /** The mechanisms that are off. */
     @Parameter(names = "--mechanism-off", description = "Mechanism to switch off; the run must then show failures")
     private List<Mechanism> off = new ArrayList<>();
 
-    /** The page to write. */
     @Parameter(names = "--output", description = "Page to write, unless a mechanism is off")
     private String output = "docs/FAULT-MATRIX.md";
 
-    /** The highest number of events in the search of the freshness rule. */
     @Parameter(
             names = "--freshness-depth",
             description = "Also search the freshness rule with this many events and write its table; 0 for no search")
     private int freshnessDepth;
 
-    /** The page with the table of the freshness rule. */
     @Parameter(names = "--freshness-page", description = "Page whose table of the freshness rule is replaced")
     private String freshnessPage = "docs/design/freshness.md";
 
-    /** Whether to print the usage. */
     @Parameter(names = "--help", help = true, description = "Print this help")
     private boolean help;
 
-    /** Creates the command. */
     private FaultMatrixMain() {}
 
     /**
-     * Runs the command.
+     * Runs the command and exits with its status.
      *
-     * @param arguments The arguments.
      * @throws IOException If a page can't be written.
      */
     public static void main(String[] arguments) throws IOException {
@@ -73,7 +65,7 @@
             parser.parse(arguments);
         } catch (ParameterException exception) {
             System.err.println("fault-matrix: " + exception.getMessage());
-            System.exit(WRONG_SETTINGS);
+            System.exit(INVALID_ARGUMENTS);
         }
         if (command.help) {
             parser.usage();
@@ -82,21 +74,15 @@
         System.exit(command.run(System.out));
     }
 
-    /**
-     * Runs the matrix.
-     *
-     * @param out Takes what is told.
-     * @return The exit status.
-     * @throws IOException If a page can't be written.
-     */
+    /** Runs the matrix, writes the pages and returns the exit status. */
     private int run(PrintStream out) throws IOException {
-        Set<Mechanism> offSet = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
-        FaultMatrix singles = FaultMatrix.run(Cell.singles(), offSet);
-        FaultMatrix pairs = FaultMatrix.run(Cell.pairs(seeds), offSet);
+        Set<Mechanism> switchedOff = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
+        FaultMatrix singles = FaultMatrix.run(Cell.singles(), switchedOff);
+        FaultMatrix pairs = FaultMatrix.run(Cell.pairs(seeds), switchedOff);
         List<CellResult> failures = new ArrayList<>(singles.failures());
         failures.addAll(pairs.failures());
-        tell(out, failures, singles.results().size() + pairs.results().size());
-        if (!offSet.isEmpty()) {
+        printFailures(out, failures, singles.results().size() + pairs.results().size());
+        if (!switchedOff.isEmpty()) {
             return failures.isEmpty() ? FAILED : 0;
         }
         write(Path.of(output), new FaultMatrixPage().write(seeds, singles, pairs));
@@ -107,13 +93,6 @@
         return failures.isEmpty() ? 0 : FAILED;
     }
 
-    /**
-     * Writes a page.
-     *
-     * @param path The path.
-     * @param text The text.
-     * @throws IOException If it can't be written.
-     */
     private static void write(Path path, String text) throws IOException {
         if (path.getParent() != null) {
             Files.createDirectories(path.getParent());
@@ -121,14 +100,8 @@
         Files.writeString(path, text);
     }
 
-    /**
-     * Tells how many cells failed, and the first of them with their traces.
-     *
-     * @param out Takes what is told.
-     * @param failures The failed cells.
-     * @param run The number of cells that were run.
-     */
-    private static void tell(PrintStream out, List<CellResult> failures, int run) {
+    /** Prints how many cells failed, and the first of them with their traces. */
+    private static void printFailures(PrintStream out, List<CellResult> failures, int run) {
         out.println("cells run: " + run + ", failed: " + failures.size());
         for (CellResult failure : failures.stream().limit(PRINTED_FAILURES).toList()) {
             out.println("failed: " + failure.cell());
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultMatrixPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FaultMatrixPage.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * Writes docs/FAULT-MATRIX.md.
+ * Renders docs/FAULT-MATRIX.md.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class FaultMatrixPage {
 
@@ -29,17 +29,8 @@
             EnumSet.of(Mechanism.PREFIX_WINDOW),
             EnumSet.of(Mechanism.DRAIN));
 
-    /** The text so far. */
     private final StringBuilder text = new StringBuilder();
 
-    /**
-     * Writes the page.
-     *
-     * @param seeds The number of pairs for each protocol.
-     * @param singles The runs with one fault.
-     * @param pairs The runs with two faults.
-     * @return The page.
-     */
     String write(int seeds, FaultMatrix singles, FaultMatrix pairs) {
         line("# Fault matrix");
         line("");
@@ -71,12 +62,6 @@
         return text.toString();
     }
 
-    /**
-     * Writes the table of invariants.
-     *
-     * @param title The title.
-     * @param matrix The runs.
-     */
     private void table(String title, FaultMatrix matrix) {
         line("## " + title);
         line("");
@@ -89,31 +74,26 @@
         line("");
     }
 
-    /**
-     * Writes the failed cells of each protocol.
-     *
-     * @param singles The runs with one fault.
-     * @param pairs The runs with two faults.
-     */
+    /** Writes the failed cells of each protocol. */
     private void protocols(FaultMatrix singles, FaultMatrix pairs) {
         line("## By protocol");
         line("");
         line("| protocol | one fault: cells | failed | two faults: cells | failed | first failed |");
         line("|---|---:|---:|---:|---:|---|");
         for (Protocol protocol : Protocol.values()) {
-            List<CellResult> failedSingles = of(singles.failures(), protocol);
-            List<CellResult> failedPairs = of(pairs.failures(), protocol);
+            List<CellResult> failedSingles = ofProtocol(singles.failures(), protocol);
+            List<CellResult> failedPairs = ofProtocol(pairs.failures(), protocol);
             CellResult first =
                     failedSingles.isEmpty() ? failedPairs.isEmpty() ? null : failedPairs.get(0) : failedSingles.get(0);
             line("| " + protocol.title() + " | "
-                    + of(singles.results(), protocol).size() + " | " + failedSingles.size() + " | "
-                    + of(pairs.results(), protocol).size() + " | " + failedPairs.size() + " | "
+                    + ofProtocol(singles.results(), protocol).size() + " | " + failedSingles.size() + " | "
+                    + ofProtocol(pairs.results(), protocol).size() + " | " + failedPairs.size() + " | "
                     + (first == null ? "none" : first.cell()) + " |");
         }
         line("");
     }
 
-    /** Runs the cells with one fault with each mechanism off. */
+    /** Runs the cells with one fault with each mechanism switched off. */
     private void ablations() {
         line("## With a mechanism off");
         line("");
@@ -124,13 +104,13 @@
         for (Set<Mechanism> off : ABLATIONS) {
             FaultMatrix matrix = FaultMatrix.run(Cell.singles(), off);
             List<CellResult> failures = matrix.failures();
-            line("| " + off + " | " + failures.size() + " | " + broken(matrix) + " | "
+            line("| " + off + " | " + failures.size() + " | " + violations(matrix) + " | "
                     + (failures.isEmpty() ? "none" : failures.get(0).cell()) + " |");
         }
         line("");
     }
 
-    /** Compares what remembers calls. */
+    /** Compares where idempotency keys are remembered: nowhere, in the gateway, or in the log. */
     private void reservationAblation() {
         line("## What remembers a call that may run once");
         line("");
@@ -141,21 +121,16 @@
         line(
                 "| memory | cells | duplicates | cells with duplicates | attempts refused | never answered | median to answer | longest to answer |");
         line("|---|---:|---:|---:|---:|---:|---:|---:|");
-        remembered("none", EnumSet.of(Mechanism.RESERVATION, Mechanism.GATEWAY_MEMORY));
-        remembered("in the gateway only", EnumSet.of(Mechanism.RESERVATION));
-        remembered("reservation in the log", EnumSet.noneOf(Mechanism.class));
+        memoryRow("none", EnumSet.of(Mechanism.RESERVATION, Mechanism.GATEWAY_MEMORY));
+        memoryRow("in the gateway only", EnumSet.of(Mechanism.RESERVATION));
+        memoryRow("reservation in the log", EnumSet.noneOf(Mechanism.class));
         line("");
     }
 
-    /**
-     * Writes one row of the comparison.
-     *
-     * @param name The name of the row.
-     * @param off The mechanisms that are off.
-     */
-    private void remembered(String name, Set<Mechanism> off) {
+    /** Writes one row of the comparison. */
+    private void memoryRow(String name, Set<Mechanism> off) {
         List<AtMostOnceScenario> runs =
-                of(FaultMatrix.run(Cell.singles(), off).results(), Protocol.AT_MOST_ONCE).stream()
+                ofProtocol(FaultMatrix.run(Cell.singles(), off).results(), Protocol.AT_MOST_ONCE).stream()
                         .map(result -> (AtMostOnceScenario) result.scenario())
                         .toList();
         int duplicates =
@@ -186,7 +161,7 @@
             FaultMatrix matrix = FaultMatrix.run(Cell.singles(), off);
             for (Protocol protocol :
                     List.of(Protocol.LEASE_FENCING, Protocol.LEASE_DEADLINE, Protocol.LEASE_UNCHECKED)) {
-                List<CellResult> results = of(matrix.results(), protocol);
+                List<CellResult> results = ofProtocol(matrix.results(), protocol);
                 List<LeaseScenario> runs = results.stream()
                         .map(result -> (LeaseScenario) result.scenario())
                         .toList();
@@ -206,11 +181,7 @@
         }
     }
 
-    /**
-     * Writes how long a withdrawn key worked on, and how long acceptance took.
-     *
-     * @param singles The runs with one fault.
-     */
+    /** Writes how long a withdrawn key remained usable, and how long acceptance took. */
     private void withdrawalTimes(FaultMatrix singles) {
         line("");
         line("## How long a withdrawn key works on");
@@ -224,12 +195,12 @@
         line("| fault | cells | key works on: median | longest | accepted | median | longest |");
         line("|---|---:|---:|---:|---:|---:|---:|");
         for (Fault fault : Fault.values()) {
-            List<ConfigurationScenario> runs = of(singles.results(), Protocol.CONFIGURATION).stream()
+            List<ConfigurationScenario> runs = ofProtocol(singles.results(), Protocol.CONFIGURATION).stream()
                     .filter(result -> result.cell().injections().stream().anyMatch(one -> one.fault() == fault))
                     .map(result -> (ConfigurationScenario) result.scenario())
                     .toList();
-            long[] worked = runs.stream()
-                    .mapToLong(ConfigurationScenario::workedOnMillis)
+            long[] usable = runs.stream()
+                    .mapToLong(ConfigurationScenario::usableAfterWithdrawalMillis)
                     .filter(millis -> millis >= 0)
                     .sorted()
                     .toArray();
@@ -238,32 +209,22 @@
                     .filter(millis -> millis >= 0)
                     .sorted()
                     .toArray();
-            line("| " + fault.name().toLowerCase(Locale.ROOT) + " | " + runs.size() + " | " + spread(worked) + " | "
-                    + accepted.length + " | " + spread(accepted) + " |");
+            line("| " + fault.name().toLowerCase(Locale.ROOT) + " | " + runs.size() + " | " + medianAndMaximum(usable)
+                    + " | " + accepted.length + " | " + medianAndMaximum(accepted) + " |");
         }
         line("");
     }
 
-    /**
-     * Writes median and longest of times.
-     *
-     * @param sortedMillis The times in milliseconds in rising order.
-     * @return Two cells.
-     */
-    private static String spread(long[] sortedMillis) {
+    /** Formats the median and the maximum of sorted times as two table cells. */
+    private static String medianAndMaximum(long[] sortedMillis) {
         if (sortedMillis.length == 0) {
             return "none | none";
         }
         return sortedMillis[sortedMillis.length / 2] + " ms | " + sortedMillis[sortedMillis.length - 1] + " ms";
     }
 
-    /**
-     * Lists the invariants that were broken.
-     *
-     * @param matrix The runs.
-     * @return Their names.
-     */
-    private static String broken(FaultMatrix matrix) {
+    /** Lists the violated invariants with the number of violations. */
+    private static String violations(FaultMatrix matrix) {
         StringBuilder names = new StringBuilder();
         for (Map.Entry<Invariant, FaultMatrix.Counts> entry :
                 matrix.byInvariant().entrySet()) {
@@ -277,24 +238,12 @@
         return names.isEmpty() ? "none" : names.toString();
     }
 
-    /**
-     * Returns the runs of a protocol.
-     *
-     * @param results The runs.
-     * @param protocol The protocol.
-     * @return Those of the protocol.
-     */
-    private static List<CellResult> of(List<CellResult> results, Protocol protocol) {
+    private static List<CellResult> ofProtocol(List<CellResult> results, Protocol protocol) {
         return results.stream()
                 .filter(result -> result.cell().protocol() == protocol)
                 .toList();
     }
 
-    /**
-     * Writes a line.
-     *
-     * @param content The line.
-     */
     private void line(String content) {
         text.append(content).append('\n');
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Finding.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Finding.java
@@ -1,33 +1,23 @@
 package org.cranberrygauge.verification.faults;
 
 /**
- * What a run showed of one invariant.
+ * The outcome of one invariant in a run.
  *
- * @param invariant The invariant.
- * @param outcome How it came out.
- * @param detail What was counted at the far end.
+ * @param detail The figures that the outcome follows from, as counted by the emulated external systems.
  */
 record Finding(Invariant invariant, Outcome outcome, String detail) {
 
-    /** How an invariant came out. */
+    /** The outcomes of an invariant, from best to worst. */
     enum Outcome {
-        /** It held, and the work was done. */
+        /** The invariant held and the work was done. */
         PASSED,
-        /** It held, but the work was refused, late, lost or of unknown outcome, which is allowed. */
+        /** The invariant held, but the work was refused, late, lost or of unknown outcome, which is allowed. */
         DEGRADED,
-        /** It was broken. */
+        /** The invariant was violated. */
         FAILED
     }
 
-    /**
-     * Judges an invariant.
-     *
-     * @param invariant The invariant.
-     * @param broken Whether it was broken.
-     * @param degraded Whether the work was not done as it should.
-     * @param detail What was counted at the far end.
-     * @return The finding.
-     */
+    /** Creates a finding; a violation outweighs degraded work. */
     static Finding of(Invariant invariant, boolean broken, boolean degraded, String detail) {
         Outcome outcome = broken ? Outcome.FAILED : degraded ? Outcome.DEGRADED : Outcome.PASSED;
         return new Finding(invariant, outcome, detail);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessPage.java
@@ -3,11 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Writes the table of docs/design/freshness.md.
- *
- * <p>Used by one thread.
- */
+/** Renders the table of docs/design/freshness.md. */
 final class FreshnessPage {
 
     /** The line before the table. */
@@ -16,58 +12,38 @@
     /** The line after the table. */
     private static final String END = "<!-- generated until here -->";
 
-    /** The names of the rules, in the order of the search. */
+    /** The names of the rules, in the order of {@link FreshnessSearch#RULES}. */
     private static final List<String> NAMES = List.of(
             "ours: on beside an equally stale peer",
             "majority of members in touch",
             "always stop when stale",
             "never stop");
 
-    /** Prevents instances. */
     private FreshnessPage() {}
 
-    /**
-     * Searches all cuts.
-     *
-     * @param cuts The cuts.
-     * @param declaration Who may be declared gone.
-     * @param depth The highest number of events.
-     * @return What each rule did, in the order of the rules.
-     */
+    /** Searches under each partition and returns the summed results, in the order of the rules. */
     static List<FreshnessRuleResult> search(
-            List<NetworkPartition> cuts, FreshnessSearch.Declaration declaration, int depth) {
-        List<List<FreshnessRuleResult>> found = cuts.parallelStream()
-                .map(cut -> new FreshnessSearch(cut, declaration, depth).run())
+            List<NetworkPartition> partitions, FreshnessSearch.RemovalRule removalRule, int depth) {
+        List<List<FreshnessRuleResult>> perPartition = partitions.parallelStream()
+                .map(partition -> new FreshnessSearch(partition, removalRule, depth).run())
                 .toList();
         List<FreshnessRuleResult> sums = new ArrayList<>();
         for (int rule = 0; rule < FreshnessSearch.RULES.size(); rule++) {
             int index = rule;
-            sums.add(found.stream()
-                    .map(harms -> harms.get(index))
+            sums.add(perPartition.stream()
+                    .map(results -> results.get(index))
                     .reduce(FreshnessRuleResult.none(), FreshnessRuleResult::plus));
         }
         return sums;
     }
 
-    /**
-     * Replaces the table in a page.
-     *
-     * @param page The page.
-     * @param depth The highest number of events.
-     * @return The page with the table of this run.
-     */
+    /** Replaces the table in a page. */
     static String replace(String page, int depth) {
         int begin = page.indexOf(BEGIN);
         int end = page.indexOf(END);
         return page.substring(0, begin + BEGIN.length()) + "\n\n" + table(depth) + "\n" + page.substring(end);
     }
 
-    /**
-     * Writes the table.
-     *
-     * @param depth The highest number of events.
-     * @return The table.
-     */
     private static String table(int depth) {
         StringBuilder text = new StringBuilder();
         text.append("Four gateways, 15 partitions times 16 sets of gateways that reach the log, all orders of up to ")
@@ -77,24 +53,24 @@
                 .append(
                         "| a gateway is declared gone | rule | states | admitted by a withdrawn key | refused without need |")
                 .append(" of harmless | all of several refuse without need |\n|---|---|---:|---:|---:|---:|---:|\n");
-        for (FreshnessSearch.Declaration declaration : FreshnessSearch.Declaration.values()) {
-            List<FreshnessRuleResult> harms = search(NetworkPartition.all(), declaration, depth);
-            for (int rule = 0; rule < harms.size(); rule++) {
-                FreshnessRuleResult harm = harms.get(rule);
+        for (FreshnessSearch.RemovalRule removalRule : FreshnessSearch.RemovalRule.values()) {
+            List<FreshnessRuleResult> results = search(NetworkPartition.all(), removalRule, depth);
+            for (int rule = 0; rule < results.size(); rule++) {
+                FreshnessRuleResult result = results.get(rule);
                 text.append("| ")
-                        .append(declaration.text())
+                        .append(removalRule.text())
                         .append(" | ")
                         .append(NAMES.get(rule))
                         .append(" | ")
-                        .append(harm.states())
+                        .append(result.states())
                         .append(" | ")
-                        .append(harm.withdrawnAdmitted())
+                        .append(result.withdrawnAdmitted())
                         .append(" | ")
-                        .append(harm.refusedWithoutNeed())
+                        .append(result.refusedWithoutNeed())
                         .append(" | ")
-                        .append(harm.harmless())
+                        .append(result.harmless())
                         .append(" | ")
-                        .append(harm.stopsOfSeveral())
+                        .append(result.stopsOfSeveral())
                         .append(" |\n");
             }
         }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
@@ -10,99 +10,71 @@
 import org.cranberrygauge.verification.faults.GatewayStates.Status;
 
 /**
- * Searches all states that four gateways can reach under one cut of the network, breadth first, and counts the harm that
- * each rule of freshness does in them.
+ * Searches breadth-first all states that four gateways can reach under one network partition, and counts what each
+ * admission freshness rule does in them.
  *
- * <p>Events come in any order, up to a number: the cut and its end, a host dies, a process starts on it again, a gateway
- * freezes and thaws, reads the log, hears its peers, the freshness bound passes, a key is withdrawn, the withdrawal is
- * accepted, a gateway is declared gone. Rules change what is admitted and never the events, so that one search serves all.
- * Used by one thread.
+ * <p>Events come in any order, up to a maximum number: the partition begins or heals, a host dies, a process starts on
+ * it again, a gateway pauses and resumes, reads the log, hears from its peers, the freshness bound passes, a key is
+ * withdrawn, the withdrawal is accepted, a gateway is removed from the members. Rules change what is admitted and
+ * never the events, so one search serves all rules. Not thread-safe.
  */
 final class FreshnessSearch {
 
-    /** The freshness bound in milliseconds. */
     private static final long FRESHNESS_MILLIS = 1_000;
 
-    /** The present time in all views in milliseconds. */
     private static final long NOW_MILLIS = 10_000;
 
-    /** The rules that are compared. */
     static final List<AdmissionFreshness> RULES = List.of(
             AdmissionFreshness.Default.INSTANCE,
             AdmissionFreshness.Majority.INSTANCE,
             AdmissionFreshness.Strict.INSTANCE,
             AdmissionFreshness.Disabled.INSTANCE);
 
-    /** The cut. */
-    private final NetworkPartition cut;
+    private final NetworkPartition partition;
 
-    /** Who may be declared gone. */
-    private final Declaration declaration;
+    /** When a gateway may be removed from the members. */
+    private final RemovalRule removalRule;
 
-    /** The states that were reached. */
     private final Set<Long> reached = new HashSet<>();
 
-    /** The states that were reached by the present number of events. */
+    /** The states first reached by the present number of events. */
     private List<Long> frontier = new ArrayList<>();
 
-    /** The highest number of events. */
+    /** The maximum number of events. */
     private final int depth;
 
-    /** What each rule did. */
-    private final FreshnessRuleResult[] harms = new FreshnessRuleResult[RULES.size()];
+    private final FreshnessRuleResult[] results = new FreshnessRuleResult[RULES.size()];
 
-    /**
-     * Creates a search.
-     *
-     * @param cut The cut.
-     * @param declaration Who may be declared gone.
-     * @param depth The highest number of events.
-     */
-    FreshnessSearch(NetworkPartition cut, Declaration declaration, int depth) {
+    FreshnessSearch(NetworkPartition partition, RemovalRule removalRule, int depth) {
         this.depth = depth;
-        this.cut = cut;
-        this.declaration = declaration;
+        this.partition = partition;
+        this.removalRule = removalRule;
     }
 
-    /** Who may be declared gone. */
-    enum Declaration {
-        /** A gateway whose host is dead, which is what a truthful list of hosts shows in the end. */
+    /** When the lease holder may remove a gateway from the members. */
+    enum RemovalRule {
+        /** If its host is dead, which an accurate list of hosts eventually shows. */
         DEAD_HOST("when its host is dead (a truthful list of hosts)"),
-        /** Any gateway that no reader of the log heard for the freshness bound. */
+        /** If no gateway that reads the log heard from it within the freshness bound. */
         SILENCE("when no reader of the log heard it for the bound"),
-        /** Any gateway that neither a reader of the log nor any other gateway heard for the freshness bound. */
+        /** If no other gateway heard from it within the freshness bound. */
         SILENCE_TO_ALL("when nobody heard it for the bound");
 
-        /** The text for the page. */
         private final String text;
 
-        /**
-         * Creates a declaration.
-         *
-         * @param text The text for the page.
-         */
-        Declaration(String text) {
+        RemovalRule(String text) {
             this.text = text;
         }
 
-        /**
-         * Returns the text for the page.
-         *
-         * @return The text.
-         */
         String text() {
             return text;
         }
     }
 
-    /**
-     * Searches.
-     *
-     * @return What each rule did, in the order of the rules.
-     */
+    /** Searches and returns the results of each rule, in the order of {@link #RULES}. */
     List<FreshnessRuleResult> run() {
-        for (int rule = 0; rule < harms.length; rule++) {
-            harms[rule] = FreshnessRuleResult.none();
+        for (int rule = 0; rule < results.length; rule++) {
+            results[rule] = FreshnessRuleResult.none();
         }
         add(GatewayStates.initial());
         for (int events = 0; events <= depth && !frontier.isEmpty(); events++) {
@@ -116,50 +88,37 @@
                 }
             }
         }
-        return List.of(harms);
+        return List.of(results);
     }
 
-    /**
-     * Notes a state unless it was reached before.
-     *
-     * @param state The state.
-     */
+    /** Adds a state to the frontier unless it was reached before. */
     private void add(GatewayStates state) {
         if (reached.add(state.bits())) {
             frontier.add(state.bits());
         }
     }
 
-    /**
-     * Finds the states that follow a state.
-     *
-     * @param state The state.
-     */
+    /** Adds the states that follow a state. */
     private void successors(GatewayStates state) {
-        add(state.withCut(!state.cut()));
-        add(pass(state));
+        add(state.withPartitioned(!state.partitioned()));
+        add(passFreshnessBound(state));
         add(state.withAppended());
         if (state.appended() && isConfirmed(state)) {
             add(state.withAccepted());
         }
         for (int gateway = 0; gateway < GatewayStates.GATEWAYS; gateway++) {
-            ofGateway(state, gateway);
+            gatewaySuccessors(state, gateway);
         }
     }
 
-    /**
-     * Finds the states that follow when one gateway does something or something happens to it.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     */
-    private void ofGateway(GatewayStates state, int gateway) {
-        if (mayDeclare(state, gateway)) {
-            add(state.withGone(gateway, true));
+    /** Adds the states that follow from an event at one gateway. */
+    private void gatewaySuccessors(GatewayStates state, int gateway) {
+        if (mayRemove(state, gateway)) {
+            add(state.withRemoved(gateway, true));
         }
         switch (state.status(gateway)) {
             case RUNNING -> {
-                add(dead(state, gateway));
+                add(killed(state, gateway));
                 add(state.withStatus(gateway, Status.FROZEN));
                 add(hear(state, gateway));
                 if (reachesLog(state, gateway)) {
@@ -167,21 +126,15 @@
                 }
             }
             case FROZEN -> {
-                add(dead(state, gateway));
+                add(killed(state, gateway));
                 add(state.withStatus(gateway, Status.RUNNING));
             }
             default -> add(state.withStatus(gateway, Status.RUNNING));
         }
     }
 
-    /**
-     * Kills a gateway; its process forgets all.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     * @return The state after it.
-     */
-    private static GatewayStates dead(GatewayStates state, int gateway) {
+    /** Kills a gateway, whose process loses its state. */
+    private static GatewayStates killed(GatewayStates state, int gateway) {
         return state.withStatus(gateway, Status.DEAD)
                 .withKnows(gateway, false)
                 .withFresh(gateway, false)
@@ -189,27 +142,15 @@
                 .withHeard(gateway, 0);
     }
 
-    /**
-     * Lets a gateway read the log to its end; if it finds itself gone or not joined, it joins.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     * @return The state after it.
-     */
+    /** Lets a gateway read the log to its end, and join if it is not a member. */
     private static GatewayStates read(GatewayStates state, int gateway) {
         return state.withKnows(gateway, state.appended())
                 .withFresh(gateway, true)
-                .withGone(gateway, false)
+                .withRemoved(gateway, false)
                 .withMember(gateway, true);
     }
 
-    /**
-     * Lets a gateway hear the peers that it reaches and take over what they know.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     * @return The state after it.
-     */
+    /** Lets a gateway hear from the peers it reaches and take over what they know. */
     private GatewayStates hear(GatewayStates state, int gateway) {
         GatewayStates next = state.withHeard(gateway, 0);
         for (int peer = 0; peer < GatewayStates.GATEWAYS; peer++) {
@@ -220,19 +161,17 @@
             next = next.withKnows(gateway, next.knows(gateway) || state.knows(peer));
             if (state.fresh(peer)) {
                 next = next.withFresh(gateway, true);
-                next = next.withMember(gateway, next.member(gateway) && !next.gone(gateway));
+                next = next.withMember(gateway, next.member(gateway) && !next.removed(gateway));
             }
         }
         return next;
     }
 
     /**
-     * Lets the freshness bound pass, in which all that run read and hear what they reach.
-     *
-     * @param state The state.
-     * @return The state after it.
+     * Lets the freshness bound pass, in which all running gateways read the log and hear from their peers where they
+     * reach them.
      */
-    private GatewayStates pass(GatewayStates state) {
+    private GatewayStates passFreshnessBound(GatewayStates state) {
         GatewayStates next = state;
         for (int gateway = 0; gateway < GatewayStates.GATEWAYS; gateway++) {
             next = next.withFresh(gateway, false).withHeard(gateway, 0);
@@ -248,30 +187,19 @@
         return next;
     }
 
-    /**
-     * Tells whether every gateway that was not declared gone confirms the withdrawal to the operator.
-     *
-     * @param state The state.
-     * @return Whether they do.
-     */
+    /** Tells whether every member confirms the withdrawal to the operator. */
     private static boolean isConfirmed(GatewayStates state) {
         for (int gateway = 0; gateway < GatewayStates.GATEWAYS; gateway++) {
-            if (!state.gone(gateway) && !(state.runs(gateway) && state.knows(gateway))) {
+            if (!state.removed(gateway) && !(state.runs(gateway) && state.knows(gateway))) {
                 return false;
             }
         }
         return true;
     }
 
-    /**
-     * Tells whether the lease holder may declare a gateway gone.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     * @return Whether it may.
-     */
-    private boolean mayDeclare(GatewayStates state, int gateway) {
-        if (declaration == Declaration.DEAD_HOST || state.status(gateway) == Status.DEAD) {
+    /** Tells whether the lease holder may remove a gateway from the members. */
+    private boolean mayRemove(GatewayStates state, int gateway) {
+        if (removalRule == RemovalRule.DEAD_HOST || state.status(gateway) == Status.DEAD) {
             return state.status(gateway) == Status.DEAD;
         }
         boolean readers = false;
@@ -280,7 +208,7 @@
             if (reader && peer == gateway) {
                 return false;
             }
-            boolean asked = reader || declaration == Declaration.SILENCE_TO_ALL;
+            boolean asked = reader || removalRule == RemovalRule.SILENCE_TO_ALL;
             if (asked && (state.heard(peer) >> gateway & 1) != 0) {
                 return false;
             }
@@ -289,48 +217,24 @@
         return readers && !state.fresh(gateway);
     }
 
-    /**
-     * Tells whether two gateways reach each other now.
-     *
-     * @param state The state.
-     * @param one The one.
-     * @param other The other.
-     * @return Whether they do.
-     */
+    /** Tells whether two gateways reach each other now. */
     private boolean connects(GatewayStates state, int one, int other) {
-        return !state.cut() || cut.connects(one, other);
+        return !state.partitioned() || partition.connects(one, other);
     }
 
-    /**
-     * Tells whether a gateway reaches the log now.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     * @return Whether it does.
-     */
+    /** Tells whether a gateway reaches the log now. */
     private boolean reachesLog(GatewayStates state, int gateway) {
-        return !state.cut() || cut.reachesLog(gateway);
+        return !state.partitioned() || partition.reachesLog(gateway);
     }
 
-    /**
-     * Counts what each rule does in a state.
-     *
-     * @param state The state.
-     */
+    /** Counts what each rule does in a state. */
     private void count(GatewayStates state) {
-        for (int rule = 0; rule < harms.length; rule++) {
-            harms[rule] = harms[rule].plus(judge(state, RULES.get(rule)));
+        for (int rule = 0; rule < results.length; rule++) {
+            results[rule] = results[rule].plus(evaluate(state, RULES.get(rule)));
         }
     }
 
-    /**
-     * Judges a rule in a state.
-     *
-     * @param state The state.
-     * @param rule The rule.
-     * @return What it does.
-     */
-    private FreshnessRuleResult judge(GatewayStates state, AdmissionFreshness rule) {
+    private FreshnessRuleResult evaluate(GatewayStates state, AdmissionFreshness rule) {
         int withdrawn = 0;
         int harmless = 0;
         int refused = 0;
@@ -351,16 +255,10 @@
         boolean needlessStop = running > 0 && admitting == 0 && refused == running;
         return new FreshnessRuleResult(
                         1, withdrawn, harmless, refused, needlessStop ? 1 : 0, needlessStop && running > 1 ? 1 : 0)
-                .times(cut.weight());
+                .times(partition.weight());
     }
 
-    /**
-     * Builds what a gateway knows.
-     *
-     * @param state The state.
-     * @param gateway The gateway.
-     * @return The view.
-     */
+    /** Builds what a gateway knows. */
     private static AdmissionFreshness.View view(GatewayStates state, int gateway) {
         List<PeerReport> peers = new ArrayList<>();
         long version = state.knows(gateway) ? 1 : 0;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/GatewayStates.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/GatewayStates.java
@@ -1,59 +1,50 @@
 package org.cranberrygauge.verification.faults;
 
 /**
- * The state of four gateways and the log, packed into one number.
+ * The state of four gateways and the log, packed into a long so that a search can hold many of them.
  *
  * <p>Immutable and safe for use by several threads.
- *
- * @param bits The packed state.
  */
 record GatewayStates(long bits) {
 
-    /** The number of gateways. */
     static final int GATEWAYS = 4;
 
-    /** The place of the first status, with two bits a gateway. */
+    /** The first status; two bits per gateway. */
     private static final int STATUS = 0;
 
-    /** The place of the first bit of the configuration: whether a gateway knows the withdrawal. */
+    /** Whether a gateway knows the withdrawal; one bit per gateway. */
     private static final int KNOWS = 8;
 
-    /** The place of the first bit of freshness. */
+    /** Whether a gateway's view of the log is fresh; one bit per gateway. */
     private static final int FRESH = 12;
 
-    /** The place of the first row of who was heard within the freshness bound. */
+    /** The gateways that each gateway heard from within the freshness bound; four bits per gateway. */
     private static final int HEARD = 16;
 
-    /** The place of the first bit of the log that declares a gateway gone. */
-    private static final int GONE = 32;
+    /** Whether the log removed a gateway from the members; one bit per gateway. */
+    private static final int REMOVED = 32;
 
-    /** The place of the first bit of a gateway that read its own join. */
+    /** Whether a gateway has read its own join; one bit per gateway. */
     private static final int MEMBER = 36;
 
-    /** The place of the bit that the withdrawal stands in the log. */
+    /** Whether the withdrawal is in the log. */
     private static final int APPENDED = 40;
 
-    /** The place of the bit that the withdrawal was accepted. */
+    /** Whether the withdrawal was accepted. */
     private static final int ACCEPTED = 41;
 
-    /** The place of the bit that the network is cut. */
-    private static final int CUT = 42;
+    /** Whether the network is partitioned. */
+    private static final int PARTITIONED = 42;
 
-    /** What a gateway does. */
+    /** Whether the process of a gateway runs. */
     enum Status {
-        /** It runs. */
         RUNNING,
-        /** It is frozen. */
         FROZEN,
         /** Its host is dead. */
         DEAD
     }
 
-    /**
-     * Returns the state in which all is well and all gateways know all.
-     *
-     * @return The initial state.
-     */
+    /** Returns the state without faults, in which all gateways know the newest version. */
     static GatewayStates initial() {
         long bits = 0xFL << FRESH | 0xFL << MEMBER;
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
@@ -62,217 +53,96 @@
         return new GatewayStates(bits);
     }
 
-    /**
-     * Returns the status of a gateway.
-     *
-     * @param gateway The gateway.
-     * @return The status.
-     */
     Status status(int gateway) {
         return Status.values()[(int) (bits >> STATUS + 2 * gateway) & 3];
     }
 
-    /**
-     * Sets the status of a gateway.
-     *
-     * @param gateway The gateway.
-     * @param status The status.
-     * @return The refined state.
-     */
     GatewayStates withStatus(int gateway, Status status) {
-        int place = STATUS + 2 * gateway;
-        return new GatewayStates(bits & ~(3L << place) | (long) status.ordinal() << place);
+        int bit = STATUS + 2 * gateway;
+        return new GatewayStates(bits & ~(3L << bit) | (long) status.ordinal() << bit);
     }
 
-    /**
-     * Tells whether a gateway runs.
-     *
-     * @param gateway The gateway.
-     * @return Whether it runs.
-     */
     boolean runs(int gateway) {
         return status(gateway) == Status.RUNNING;
     }
 
-    /**
-     * Tells whether a gateway knows the withdrawal.
-     *
-     * @param gateway The gateway.
-     * @return Whether it does.
-     */
+    /** Tells whether a gateway knows the withdrawal. */
     boolean knows(int gateway) {
-        return is(KNOWS + gateway);
+        return isSet(KNOWS + gateway);
     }
 
-    /**
-     * Sets whether a gateway knows the withdrawal.
-     *
-     * @param gateway The gateway.
-     * @param value Whether it does.
-     * @return The refined state.
-     */
     GatewayStates withKnows(int gateway, boolean value) {
-        return with(KNOWS + gateway, value);
+        return withBit(KNOWS + gateway, value);
     }
 
-    /**
-     * Tells whether a gateway is fresh.
-     *
-     * @param gateway The gateway.
-     * @return Whether it is.
-     */
     boolean fresh(int gateway) {
-        return is(FRESH + gateway);
+        return isSet(FRESH + gateway);
     }
 
-    /**
-     * Sets whether a gateway is fresh.
-     *
-     * @param gateway The gateway.
-     * @param value Whether it is.
-     * @return The refined state.
-     */
     GatewayStates withFresh(int gateway, boolean value) {
-        return with(FRESH + gateway, value);
+        return withBit(FRESH + gateway, value);
     }
 
-    /**
-     * Returns the gateways that one heard within the freshness bound.
-     *
-     * @param gateway The gateway.
-     * @return The others, one bit each.
-     */
+    /** Returns the gateways that one heard from within the freshness bound, one bit each. */
     int heard(int gateway) {
         return (int) (bits >> HEARD + GATEWAYS * gateway) & 0xF;
     }
 
-    /**
-     * Sets the gateways that one heard within the freshness bound.
-     *
-     * @param gateway The gateway.
-     * @param others The others, one bit each.
-     * @return The refined state.
-     */
     GatewayStates withHeard(int gateway, int others) {
-        int place = HEARD + GATEWAYS * gateway;
-        return new GatewayStates(bits & ~(0xFL << place) | (long) others << place);
+        int bit = HEARD + GATEWAYS * gateway;
+        return new GatewayStates(bits & ~(0xFL << bit) | (long) others << bit);
     }
 
-    /**
-     * Tells whether the log declares a gateway gone.
-     *
-     * @param gateway The gateway.
-     * @return Whether it does.
-     */
-    boolean gone(int gateway) {
-        return is(GONE + gateway);
+    /** Tells whether the log removed a gateway from the members. */
+    boolean removed(int gateway) {
+        return isSet(REMOVED + gateway);
     }
 
-    /**
-     * Sets whether the log declares a gateway gone.
-     *
-     * @param gateway The gateway.
-     * @param value Whether it does.
-     * @return The refined state.
-     */
-    GatewayStates withGone(int gateway, boolean value) {
-        return with(GONE + gateway, value);
+    GatewayStates withRemoved(int gateway, boolean value) {
+        return withBit(REMOVED + gateway, value);
     }
 
-    /**
-     * Tells whether a gateway is a member as far as it has read the log.
-     *
-     * @param gateway The gateway.
-     * @return Whether it is.
-     */
+    /** Tells whether a gateway is a member as far as it has read the log. */
     boolean member(int gateway) {
-        return is(MEMBER + gateway);
+        return isSet(MEMBER + gateway);
     }
 
-    /**
-     * Sets whether a gateway is a member as far as it has read the log.
-     *
-     * @param gateway The gateway.
-     * @param value Whether it is.
-     * @return The refined state.
-     */
     GatewayStates withMember(int gateway, boolean value) {
-        return with(MEMBER + gateway, value);
+        return withBit(MEMBER + gateway, value);
     }
 
-    /**
-     * Tells whether the withdrawal stands in the log.
-     *
-     * @return Whether it does.
-     */
+    /** Tells whether the withdrawal is in the log. */
     boolean appended() {
-        return is(APPENDED);
+        return isSet(APPENDED);
     }
 
-    /**
-     * Puts the withdrawal into the log.
-     *
-     * @return The refined state.
-     */
     GatewayStates withAppended() {
-        return with(APPENDED, true);
+        return withBit(APPENDED, true);
     }
 
-    /**
-     * Tells whether the withdrawal was accepted.
-     *
-     * @return Whether it was.
-     */
+    /** Tells whether the withdrawal was accepted. */
     boolean accepted() {
-        return is(ACCEPTED);
+        return isSet(ACCEPTED);
     }
 
-    /**
-     * Accepts the withdrawal.
-     *
-     * @return The refined state.
-     */
     GatewayStates withAccepted() {
-        return with(ACCEPTED, true);
+        return withBit(ACCEPTED, true);
     }
 
-    /**
-     * Tells whether the network is cut.
-     *
-     * @return Whether it is.
-     */
-    boolean cut() {
-        return is(CUT);
+    /** Tells whether the network is partitioned. */
+    boolean partitioned() {
+        return isSet(PARTITIONED);
     }
 
-    /**
-     * Sets whether the network is cut.
-     *
-     * @param value Whether it is.
-     * @return The refined state.
-     */
-    GatewayStates withCut(boolean value) {
-        return with(CUT, value);
+    GatewayStates withPartitioned(boolean value) {
+        return withBit(PARTITIONED, value);
     }
 
-    /**
-     * Reads a bit.
-     *
-     * @param place The place.
-     * @return Whether it is set.
-     */
-    private boolean is(int place) {
-        return (bits >> place & 1) != 0;
+    private boolean isSet(int bit) {
+        return (bits >> bit & 1) != 0;
     }
 
-    /**
-     * Sets a bit.
-     *
-     * @param place The place.
-     * @param value The value.
-     * @return The refined state.
-     */
-    private GatewayStates with(int place, boolean value) {
-        return new GatewayStates(value ? bits | 1L << place : bits & ~(1L << place));
+    private GatewayStates withBit(int bit, boolean value) {
+        return new GatewayStates(value ? bits | 1L << bit : bits & ~(1L << bit));
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseHolder.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseHolder.java
@@ -6,110 +6,75 @@
 import org.cranberrygauge.decision.state.ApplyResult;
 
 /**
- * One controller of a scenario: it claims the lease and acts while it holds it.
+ * A controller of a scenario: it claims the lease and acts while it holds it.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class LeaseHolder {
 
-    /** The length of the lease in milliseconds. */
     static final long LEASE_MILLIS = 6_000;
 
-    /** The time without a renewal after which a claimant that does not wait for the lease's end claims, in milliseconds. */
-    private static final long SILENCE_MILLIS = 3_000;
+    /** The time without a renewal after which a claimant that doesn't wait for the end of the lease claims it. */
+    private static final long RENEWAL_TIMEOUT_MILLIS = 3_000;
 
-    /** The time between two decisions in milliseconds. */
+    /** The interval between two decisions. */
     private static final long TICK_MILLIS = 100;
 
-    /** The world. */
-    private final SimulationContext world;
+    private final SimulationContext context;
 
-    /** The process. */
     private final SimulatedProcess process;
 
-    /** The log. */
     private final LogClient log;
 
-    /** The keeper. */
-    private final LeaderElector keeper;
+    private final LeaderElector elector;
 
-    /** What is done at each tick while the lease is held. */
+    /** Runs at each tick while the lease is held. */
     private final Runnable whileHeld;
 
-    /**
-     * Creates a controller and starts it.
-     *
-     * @param world The world.
-     * @param name The name.
-     * @param listener Takes what became of records.
-     * @param whileHeld What is done at each tick while the lease is held.
-     */
-    LeaseHolder(SimulationContext world, String name, Consumer<ApplyResult> listener, Runnable whileHeld) {
-        this.world = world;
+    LeaseHolder(SimulationContext context, String name, Consumer<ApplyResult> listener, Runnable whileHeld) {
+        this.context = context;
         this.whileHeld = whileHeld;
-        process = world.process(name);
-        log = new LogClient(world, process, listener);
-        keeper = new LeaderElector(name, "host-" + name, world.now());
-        process.run(world.draw(TICK_MILLIS), () -> process.every(TICK_MILLIS, this::tick));
+        process = context.process(name);
+        log = new LogClient(context, process, listener);
+        elector = new LeaderElector(name, "host-" + name, context.now());
+        process.run(context.randomMillis(TICK_MILLIS), () -> process.every(TICK_MILLIS, this::tick));
     }
 
-    /**
-     * Returns the process.
-     *
-     * @return The process.
-     */
     SimulatedProcess process() {
         return process;
     }
 
-    /**
-     * Returns the log.
-     *
-     * @return The log.
-     */
     LogClient log() {
         return log;
     }
 
-    /**
-     * Returns the keeper.
-     *
-     * @return The keeper.
-     */
-    LeaderElector keeper() {
-        return keeper;
+    LeaderElector elector() {
+        return elector;
     }
 
-    /**
-     * Tells whether this controller believes now that it is in charge.
-     *
-     * @return Whether it does.
-     */
+    /** Tells whether this controller believes now that it holds the lease. */
     boolean holds() {
-        return !process.isDead() && keeper.holds(world.now());
+        return !process.isDead() && elector.holds(context.now());
     }
 
-    /** Decides once. */
+    /** Claims or renews the lease if due. */
     private void tick() {
-        long nowMillis = world.now();
-        keeper.observe(nowMillis, seen(log.state().lease()));
-        boolean held = keeper.holds(nowMillis);
-        keeper.decide(nowMillis, LEASE_MILLIS)
-                .ifPresent(claim -> world.step(process, held ? Step.RENEW : Step.CLAIM, () -> log.append(claim)));
-        if (keeper.holds(world.now()) && process.runs()) {
+        long nowMillis = context.now();
+        elector.observe(nowMillis, observedLease(log.state().lease()));
+        boolean held = elector.holds(nowMillis);
+        elector.decide(nowMillis, LEASE_MILLIS)
+                .ifPresent(claim -> context.step(process, held ? Step.RENEW : Step.CLAIM, () -> log.append(claim)));
+        if (elector.holds(context.now()) && process.runs()) {
             whileHeld.run();
         }
     }
 
     /**
-     * Returns the lease as this controller takes it; without the wait, another's lease counts as over
-     * after a silence, as by a mere heartbeat.
-     *
-     * @param lease The lease as it stands in the log.
-     * @return The lease.
+     * Returns the lease as this controller sees it: without the lease wait, another holder's lease counts as expired
+     * after a short silence, as with a plain heartbeat.
      */
-    private LeaseState seen(LeaseState lease) {
-        if (world.on(Mechanism.LEASE_WAIT) || lease.holder().equals(process.name())) {
+    private LeaseState observedLease(LeaseState lease) {
+        if (context.isEnabled(Mechanism.LEASE_WAIT) || lease.holder().equals(process.name())) {
             return lease;
         }
         return new LeaseState(
@@ -117,7 +82,7 @@
                 lease.fencingNumber(),
                 lease.holder(),
                 lease.host(),
-                SILENCE_MILLIS,
+                RENEWAL_TIMEOUT_MILLIS,
                 lease.released());
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LeaseScenario.java
@@ -7,35 +7,30 @@
 import org.cranberrygauge.model.record.LogRecord.OrderOutcome;
 
 /**
- * Two controllers keep the size of a pool at the platform.
+ * Two controllers keep a pool at its desired size on the platform.
  *
- * <p>Orders are counted by the platform. Used by one thread.
+ * <p>The platform counts orders. Not thread-safe.
  */
 final class LeaseScenario implements Scenario {
 
-    /** The length of a run in milliseconds. */
     private static final long RUN_MILLIS = 80_000;
 
-    /** The time from which the wanted size stays in milliseconds. */
+    /** The time from which the desired size no longer changes. */
     private static final long STEADY_MILLIS = 50_000;
 
-    /** The time between two changes of the wanted size in milliseconds. */
-    private static final long CHANGE_MILLIS = 1_500;
+    /** The interval between two changes of the desired size. */
+    private static final long SIZE_CHANGE_MILLIS = 1_500;
 
-    /** The longest time that an order may be under way in milliseconds. */
-    private static final long ORDER_MILLIS = 1_000;
+    private static final long ORDER_TIMEOUT_MILLIS = 1_000;
 
-    /** The time between two checks for two holders in milliseconds. */
-    private static final long CHECK_MILLIS = 10;
+    /** The interval between two checks for concurrent lease holders. */
+    private static final long HOLDER_CHECK_MILLIS = 10;
 
-    /** What the platform checks. */
-    private final PlatformCheck farEnd;
+    private final PlatformCheck platformCheck;
 
-    /** The controllers. */
     private final List<Controller> controllers = new ArrayList<>();
 
-    /** The world. */
-    private SimulationContext world;
+    private SimulationContext context;
 
     /** The size of the pool at the platform. */
     private long size;
@@ -43,31 +38,22 @@
     /** The highest fencing number of an order that was carried out. */
     private long highestFencing;
 
-    /** The number of orders that were carried out after one of a successor. */
+    /** The number of orders carried out after one of a later lease holder. */
     private int lateOrders;
 
-    /** The number of checks at which both controllers believed to be in charge. */
-    private int twoHolders;
+    /** The number of checks at which both controllers believed to hold the lease. */
+    private int concurrentHolders;
 
-    /** The number of orders that were carried out. */
     private int carriedOut;
 
-    /**
-     * Creates a scenario.
-     *
-     * @param farEnd What the platform checks.
-     */
-    LeaseScenario(PlatformCheck farEnd) {
-        this.farEnd = farEnd;
+    LeaseScenario(PlatformCheck platformCheck) {
+        this.platformCheck = platformCheck;
     }
 
     /** What the platform checks of an order. */
     enum PlatformCheck {
-        /** The fencing number. */
         CHECKS_FENCING,
-        /** The deadline only. */
         CHECKS_DEADLINE,
-        /** Nothing. */
         CHECKS_NOTHING
     }
 
@@ -77,128 +63,107 @@
     }
 
     @Override
-    public List<Finding> run(SimulationContext present) {
-        world = present;
+    public List<Finding> run(SimulationContext runContext) {
+        context = runContext;
         controllers.add(new Controller("a", 1));
         controllers.add(new Controller("b", 2));
-        world.onFaults(
+        context.onFaults(
                 () -> size = 0,
                 () -> size = -1,
                 process -> controllers.forEach(
-                        controller -> controller.crossed |= controller.holder.process() == process));
+                        controller -> controller.misdeliverNext |= controller.holder.process() == process));
         check();
-        world.timeline().runUntil(RUN_MILLIS);
-        long alive = controllers.stream()
+        context.scheduler().runUntil(RUN_MILLIS);
+        long aliveCount = controllers.stream()
                 .filter(controller -> !controller.holder.process().isDead())
                 .count();
-        boolean settled =
-                controllers.stream().anyMatch(controller -> controller.holder.holds() && controller.wanted() == size);
-        boolean window = farEnd == PlatformCheck.CHECKS_NOTHING && world.on(Mechanism.FENCING);
+        boolean settled = controllers.stream()
+                .anyMatch(controller -> controller.holder.holds() && controller.desiredSize() == size);
+        boolean uncheckedOverlapAllowed =
+                platformCheck == PlatformCheck.CHECKS_NOTHING && context.isEnabled(Mechanism.FENCING);
         String counted = "orders carried out " + carriedOut + ", of a former holder " + lateOrders + ", two holders at "
-                + twoHolders + " checks, size " + size;
+                + concurrentHolders + " checks, size " + size;
         return List.of(
                 Finding.of(
-                        Invariant.ONE_IN_CHARGE, twoHolders > 0 || lateOrders > 0 && !window, lateOrders > 0, counted),
-                Finding.of(Invariant.LAST_ORDER_STANDS, alive > 0 && !settled, alive == 0, counted));
+                        Invariant.ONE_IN_CHARGE,
+                        concurrentHolders > 0 || lateOrders > 0 && !uncheckedOverlapAllowed,
+                        lateOrders > 0,
+                        counted),
+                Finding.of(Invariant.LAST_ORDER_STANDS, aliveCount > 0 && !settled, aliveCount == 0, counted));
     }
 
-    /**
-     * Returns the number of orders of a former holder that were carried out after one of its successor.
-     *
-     * @return The number.
-     */
+    /** Returns the number of orders carried out after one of a later lease holder. */
     int lateOrders() {
         return lateOrders;
     }
 
-    /** Checks that no two controllers believe to be in charge. */
+    /** Checks that no two controllers believe to hold the lease. */
     private void check() {
         if (controllers.stream().filter(controller -> controller.holder.holds()).count() > 1) {
-            twoHolders++;
-            world.timeline().note("two holders");
+            concurrentHolders++;
+            context.scheduler().trace("two holders");
         }
-        world.timeline().after(CHECK_MILLIS, this::check);
+        context.scheduler().after(HOLDER_CHECK_MILLIS, this::check);
     }
 
-    /**
-     * Takes an order at the platform.
-     *
-     * @param intent The order.
-     * @param wanted The size that it asks for.
-     * @param deadlineMillis The deadline in milliseconds.
-     * @return The identifier of the order.
-     */
-    private String order(OrderIntent intent, long wanted, long deadlineMillis) {
-        boolean checks = world.on(Mechanism.FENCING);
-        boolean old = farEnd == PlatformCheck.CHECKS_FENCING && intent.fencingNumber() < highestFencing;
-        boolean late = farEnd != PlatformCheck.CHECKS_NOTHING && world.now() > deadlineMillis;
-        if (checks && (old || late)) {
-            world.timeline().note("platform refuses " + intent.orderId());
+    /** Handles an order at the platform and returns the identifier of the order, as the platform's answer. */
+    private String order(OrderIntent intent, long desiredSize, long deadlineMillis) {
+        boolean checks = context.isEnabled(Mechanism.FENCING);
+        boolean staleFencing = platformCheck == PlatformCheck.CHECKS_FENCING && intent.fencingNumber() < highestFencing;
+        boolean late = platformCheck != PlatformCheck.CHECKS_NOTHING && context.now() > deadlineMillis;
+        if (checks && (staleFencing || late)) {
+            context.scheduler().trace("platform refuses " + intent.orderId());
             return intent.orderId();
         }
         carriedOut++;
         lateOrders += intent.fencingNumber() < highestFencing ? 1 : 0;
         highestFencing = Math.max(highestFencing, intent.fencingNumber());
-        size = wanted;
-        world.timeline().note("platform carries out " + intent.orderId());
+        size = desiredSize;
+        context.scheduler().trace("platform carries out " + intent.orderId());
         return intent.orderId();
     }
 
-    /** One controller. */
+    /** A simulated controller, which orders its desired pool size while it holds the lease. */
     private final class Controller {
 
-        /** The number of the controller. */
         private final int number;
 
-        /** The lease. */
         private final LeaseHolder holder;
 
-        /** The fencing number for which the wait of a new holder runs or ran. */
+        /** The fencing number for which the initial wait of a new holder runs or has run. */
         private long waitedFencing = -1;
 
-        /** The time until which a new holder waits in milliseconds. */
+        /** The time until which a new holder waits before it orders. */
         private long waitUntilMillis;
 
-        /** Whether an order is under way. */
-        private boolean busy;
+        private boolean orderInFlight;
 
-        /** Whether the next answer belongs to another order. */
-        private boolean crossed;
+        /** Whether the next answer is one that belongs to another order. */
+        private boolean misdeliverNext;
 
-        /** The number of orders so far. */
         private int orders;
 
-        /**
-         * Creates a controller.
-         *
-         * @param name The name.
-         * @param number The number.
-         */
         private Controller(String name, int number) {
             this.number = number;
-            holder = new LeaseHolder(world, name, this::onEffect, this::plan);
+            holder = new LeaseHolder(context, name, this::onApplied, this::orderIfDue);
         }
 
-        /**
-         * Returns the size that this controller wants now, which no other wants.
-         *
-         * @return The size.
-         */
-        private long wanted() {
-            return Math.min(world.now(), STEADY_MILLIS) / CHANGE_MILLIS * 10 + number;
+        /** Returns the size that this controller orders now; the other controller never orders the same. */
+        private long desiredSize() {
+            return Math.min(context.now(), STEADY_MILLIS) / SIZE_CHANGE_MILLIS * 10 + number;
         }
 
-        /** Writes the intent of an order if one is due. */
-        private void plan() {
-            if (waitedFencing != holder.keeper().fencingNumber()) {
-                waitedFencing = holder.keeper().fencingNumber();
-                waitUntilMillis = world.now() + ORDER_MILLIS;
-                busy = false;
+        /** Appends the intent of an order if one is due. */
+        private void orderIfDue() {
+            if (waitedFencing != holder.elector().fencingNumber()) {
+                waitedFencing = holder.elector().fencingNumber();
+                waitUntilMillis = context.now() + ORDER_TIMEOUT_MILLIS;
+                orderInFlight = false;
             }
-            if (busy || world.now() < waitUntilMillis || size == wanted()) {
+            if (orderInFlight || context.now() < waitUntilMillis || size == desiredSize()) {
                 return;
             }
-            busy = true;
+            orderInFlight = true;
             orders++;
             OrderIntent intent = new OrderIntent(
                     holder.process().name() + "." + orders,
@@ -207,48 +172,39 @@
                     "pool",
                     number,
                     "demand");
-            world.step(holder.process(), Step.INTENT, () -> holder.log().append(intent));
+            context.step(holder.process(), Step.INTENT, () -> holder.log().append(intent));
         }
 
-        /**
-         * Sends an order whose intent was read back.
-         *
-         * @param effect The effect.
-         */
-        private void onEffect(ApplyResult effect) {
-            if (!(effect instanceof ApplyResult.IntentResult judged)
-                    || !judged.intent().holder().equals(holder.process().name())) {
+        /** Sends an order whose intent was read back from the log. */
+        private void onApplied(ApplyResult applied) {
+            if (!(applied instanceof ApplyResult.IntentResult result)
+                    || !result.intent().holder().equals(holder.process().name())) {
                 return;
             }
-            boolean allowed = judged.valid() && holder.keeper().remainingMillis(world.now()) > ORDER_MILLIS;
-            if (world.on(Mechanism.FENCING) && !allowed) {
-                busy = false;
+            boolean allowed = result.valid() && holder.elector().remainingMillis(context.now()) > ORDER_TIMEOUT_MILLIS;
+            if (context.isEnabled(Mechanism.FENCING) && !allowed) {
+                orderInFlight = false;
                 return;
             }
-            long deadlineMillis = world.now() + ORDER_MILLIS;
-            long wanted = wanted();
-            world.step(
+            long deadlineMillis = context.now() + ORDER_TIMEOUT_MILLIS;
+            long desiredSize = desiredSize();
+            context.step(
                     holder.process(),
                     Step.ORDER,
-                    () -> world.call(
+                    () -> context.call(
                             holder.process(),
-                            () -> order(judged.intent(), wanted, deadlineMillis),
-                            answer -> world.step(holder.process(), Step.ANSWER, () -> ended(judged.intent(), answer)),
-                            () -> busy = false,
-                            ORDER_MILLIS));
+                            () -> order(result.intent(), desiredSize, deadlineMillis),
+                            answer -> context.step(holder.process(), Step.ANSWER, () -> ended(result.intent(), answer)),
+                            () -> orderInFlight = false,
+                            ORDER_TIMEOUT_MILLIS));
         }
 
-        /**
-         * Takes the answer to an order.
-         *
-         * @param intent The order.
-         * @param answer The identifier that the answer names.
-         */
+        /** Records the outcome if the answer names this order. */
         private void ended(OrderIntent intent, String answer) {
-            busy = false;
-            String named = crossed ? "another order" : answer;
-            crossed = false;
-            if (named.equals(intent.orderId())) {
+            orderInFlight = false;
+            String answeredOrderId = misdeliverNext ? "another order" : answer;
+            misdeliverNext = false;
+            if (answeredOrderId.equals(intent.orderId())) {
                 holder.log().append(new OrderOutcome(intent.orderId(), intent.fencingNumber(), "done"));
             }
         }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LogClient.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/LogClient.java
@@ -10,111 +10,73 @@
 import org.cranberrygauge.model.record.LogRecord;
 
 /**
- * Reads and writes the log for one process, as the programs do: entries one at a time, sent again with the same sequence
- * number until their answer arrives.
+ * The log client of one process, as in the programs: it appends one entry at a time and retries with the same sequence
+ * number until it is acknowledged.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class LogClient {
 
-    /** The time between two reads in milliseconds. */
+    /** The interval between two reads. */
     private static final long POLL_MILLIS = 50;
 
-    /** The time after which an append without an answer is sent again in milliseconds. */
+    /** The time after which an unacknowledged append is retried. */
     private static final long TIMEOUT_MILLIS = 500;
 
-    /** The world. */
-    private final SimulationContext world;
+    private final SimulationContext context;
 
-    /** The process. */
     private final SimulatedProcess process;
 
-    /** Takes what became of records. */
+    /** Receives the results of applied records. */
     private final Consumer<ApplyResult> listener;
 
-    /** What happens around a read that finds new entries. */
-    private Consumer<Runnable> beforeRead = Runnable::run;
+    /** Runs each read that finds new entries. */
+    private Consumer<Runnable> readHook = Runnable::run;
 
-    /** The state machines. */
     private final LogState state = new LogState();
 
-    /** The records that wait. */
     private final Deque<LogRecord> queue = new ArrayDeque<>();
 
-    /** The sequence number of the last entry. */
     private long sequence;
 
-    /** Whether an entry is under way. */
-    private boolean busy;
+    private boolean appendInFlight;
 
-    /** The time before the read that last reached the log's end in milliseconds. */
+    /** The start time of the last read that reached the end of the log. */
     private long endReadAtMillis = Long.MIN_VALUE / 2;
 
-    /**
-     * Creates a client and lets it read.
-     *
-     * @param world The world.
-     * @param process The process.
-     * @param listener Takes what became of records.
-     */
-    LogClient(SimulationContext world, SimulatedProcess process, Consumer<ApplyResult> listener) {
-        this.world = world;
+    LogClient(SimulationContext context, SimulatedProcess process, Consumer<ApplyResult> listener) {
+        this.context = context;
         this.process = process;
         this.listener = listener;
-        process.run(world.draw(POLL_MILLIS), () -> process.every(POLL_MILLIS, this::poll));
+        process.run(context.randomMillis(POLL_MILLIS), () -> process.every(POLL_MILLIS, this::poll));
     }
 
-    /**
-     * Sets what happens around a read that finds new entries.
-     *
-     * @param hook Gets the read and runs it.
-     */
-    void beforeRead(Consumer<Runnable> hook) {
-        beforeRead = hook;
+    /** Sets a hook that runs each read that finds new entries. */
+    void readHook(Consumer<Runnable> hook) {
+        readHook = hook;
     }
 
-    /**
-     * Tells whether nothing waits or is under way.
-     *
-     * @return Whether the writer is idle.
-     */
+    /** Tells whether no record is queued or in flight. */
     boolean isIdle() {
-        return !busy && queue.isEmpty();
+        return !appendInFlight && queue.isEmpty();
     }
 
-    /**
-     * Returns the state machines.
-     *
-     * @return The state machines.
-     */
     LogState state() {
         return state;
     }
 
-    /**
-     * Returns the time at which this process last knew all that the log held.
-     *
-     * @return The time in milliseconds.
-     */
+    /** Returns the time in milliseconds at which this process last knew the whole log. */
     long endReadAtMillis() {
         return endReadAtMillis;
     }
 
-    /**
-     * Appends a record, however long it takes.
-     *
-     * @param record The record.
-     */
+    /** Appends a record, retrying without limit. */
     void append(LogRecord record) {
         queue.addLast(record);
         sendNext();
     }
 
-    /**
-     * Takes over what a peer read of the log.
-     *
-     * @param peer The peer.
-     */
+    /** Takes over what a peer has read of the log. */
     void readFrom(LogClient peer) {
         applyThrough(peer.state.offset());
         if (state.offset() >= peer.state.offset()) {
@@ -122,59 +84,50 @@
         }
     }
 
-    /** Reads, around which the hook runs if there is something new. */
+    /** Reads the log, by way of the hook if there are new entries. */
     private void poll() {
-        if (world.log().endOffset() > state.offset()) {
-            beforeRead.accept(this::read);
+        if (context.log().endOffset() > state.offset()) {
+            readHook.accept(this::read);
         } else {
             read();
         }
     }
 
-    /** Reads to the log's end, if it can be reached. */
+    /** Reads to the end of the log if it can be reached. */
     private void read() {
-        if (process.isCut() || world.log().isDown()) {
+        if (process.isPartitioned() || context.log().isDown()) {
             return;
         }
-        long askedAtMillis = world.now();
-        applyThrough(world.log().endOffset());
-        endReadAtMillis = askedAtMillis;
+        long readStartMillis = context.now();
+        applyThrough(context.log().endOffset());
+        endReadAtMillis = readStartMillis;
     }
 
-    /**
-     * Applies entries.
-     *
-     * @param offset The offset of the last.
-     */
     private void applyThrough(long offset) {
         while (state.offset() < offset && process.runs()) {
             long next = state.offset() + 1;
-            FakeLog.Stored stored = world.log().entry(next);
+            FakeLog.Stored stored = context.log().entry(next);
             state.apply(next, stored.appendedAtMillis(), stored.entry()).forEach(listener);
         }
     }
 
-    /** Sends the next entry unless one is under way. */
+    /** Sends the next record unless an append is in flight. */
     private void sendNext() {
-        if (busy || queue.isEmpty()) {
+        if (appendInFlight || queue.isEmpty()) {
             return;
         }
-        busy = true;
+        appendInFlight = true;
         sequence++;
         send(new LogEntry(process.name(), sequence, List.of(queue.removeFirst())));
     }
 
-    /**
-     * Sends an entry until its answer arrives.
-     *
-     * @param entry The entry.
-     */
+    /** Sends an entry until it is acknowledged. */
     private void send(LogEntry entry) {
-        world.call(
+        context.call(
                 process,
-                () -> world.log().isDown() ? null : world.log().append(entry),
+                () -> context.log().isDown() ? null : context.log().append(entry),
                 offset -> {
-                    busy = false;
+                    appendInFlight = false;
                     sendNext();
                 },
                 () -> send(entry),
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulatedProcess.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulatedProcess.java
@@ -4,73 +4,47 @@
 import java.util.List;
 
 /**
- * One process of a scenario, which can be killed, frozen and cut off.
+ * A process of a scenario, which can be killed, paused and partitioned from all others.
  *
- * <p>Invariants: a dead process runs nothing; what falls due while it is frozen runs when it thaws, in order. Used by one
- * thread.
+ * <p>Invariants: a dead process runs nothing; actions due while it is paused run in order when it resumes. Not
+ * thread-safe.
  */
 final class SimulatedProcess {
 
-    /** The name. */
     private final String name;
 
-    /** The clock. */
-    private final VirtualScheduler timeline;
+    private final VirtualScheduler scheduler;
 
-    /** What fell due while it was frozen. */
+    /** The actions that were due while it was paused. */
     private final List<Runnable> deferred = new ArrayList<>();
 
-    /** Whether it is dead. */
     private boolean dead;
 
-    /** Whether it is frozen. */
-    private boolean frozen;
+    private boolean paused;
 
-    /** The time until which it reaches nobody in milliseconds. */
-    private long cutUntilMillis;
+    private long partitionedUntilMillis;
 
-    /** The number of answers that are still to be lost. */
+    /** The number of answers still to lose. */
     private int answersToLose;
 
-    /** The number of messages that are still to be delivered twice. */
-    private int messagesToDouble;
+    /** The number of messages still to deliver twice. */
+    private int messagesToDuplicate;
 
-    /**
-     * Creates a process.
-     *
-     * @param name The name.
-     * @param timeline The clock.
-     */
-    SimulatedProcess(String name, VirtualScheduler timeline) {
+    SimulatedProcess(String name, VirtualScheduler scheduler) {
         this.name = name;
-        this.timeline = timeline;
+        this.scheduler = scheduler;
     }
 
-    /**
-     * Returns the name.
-     *
-     * @return The name.
-     */
     String name() {
         return name;
     }
 
-    /**
-     * Runs an action later, unless the process is dead by then.
-     *
-     * @param delayMillis The time from now in milliseconds.
-     * @param action The action.
-     */
+    /** Runs an action after a delay unless the process is dead by then. */
     void run(long delayMillis, Runnable action) {
-        timeline.after(delayMillis, () -> runNow(action));
+        scheduler.after(delayMillis, () -> runNow(action));
     }
 
-    /**
-     * Runs an action again and again.
-     *
-     * @param intervalMillis The time between two runs in milliseconds.
-     * @param action The action.
-     */
+    /** Runs an action at a fixed interval. */
     void every(long intervalMillis, Runnable action) {
         run(intervalMillis, () -> {
             action.run();
@@ -78,120 +52,79 @@
         });
     }
 
-    /** Kills the process. */
     void kill() {
         dead = true;
-        timeline.note(name + " dies");
+        scheduler.trace(name + " is killed");
     }
 
-    /**
-     * Freezes the process.
-     *
-     * @param millis The time in milliseconds.
-     */
     void freeze(long millis) {
-        frozen = true;
-        timeline.note(name + " freezes");
-        timeline.after(millis, this::thaw);
+        paused = true;
+        scheduler.trace(name + " pauses");
+        scheduler.after(millis, this::resume);
     }
 
-    /**
-     * Cuts the process off.
-     *
-     * @param millis The time in milliseconds.
-     */
-    void cut(long millis) {
-        cutUntilMillis = timeline.now() + millis;
-        timeline.note(name + " is cut off");
+    /** Partitions the process from all others. */
+    void partition(long millis) {
+        partitionedUntilMillis = scheduler.now() + millis;
+        scheduler.trace(name + " is partitioned");
     }
 
-    /** Loses the next answer. */
-    void loseAnswer() {
+    void loseNextAnswer() {
         answersToLose++;
     }
 
-    /** Delivers the next message twice. */
-    void doubleMessage() {
-        messagesToDouble++;
+    void duplicateNextMessage() {
+        messagesToDuplicate++;
     }
 
-    /**
-     * Takes the loss of an answer that is due.
-     *
-     * @return Whether the answer is lost.
-     */
-    boolean takesLoss() {
-        boolean loses = answersToLose > 0;
-        answersToLose -= loses ? 1 : 0;
-        return loses;
+    /** Tells whether the next answer is to be lost, and counts it as lost. */
+    boolean consumeLoss() {
+        boolean lost = answersToLose > 0;
+        answersToLose -= lost ? 1 : 0;
+        return lost;
     }
 
-    /**
-     * Takes the second delivery that is due.
-     *
-     * @return Whether the message is delivered twice.
-     */
-    boolean takesDouble() {
-        boolean doubles = messagesToDouble > 0;
-        messagesToDouble -= doubles ? 1 : 0;
-        return doubles;
+    /** Tells whether the next message is to be delivered twice, and counts it as duplicated. */
+    boolean consumeDuplicate() {
+        boolean duplicated = messagesToDuplicate > 0;
+        messagesToDuplicate -= duplicated ? 1 : 0;
+        return duplicated;
     }
 
-    /**
-     * Tells whether the process is dead.
-     *
-     * @return Whether it is.
-     */
     boolean isDead() {
         return dead;
     }
 
-    /**
-     * Tells whether the process answers others now.
-     *
-     * @return Whether it does.
-     */
+    /** Tells whether the process responds to others now. */
     boolean answers() {
-        return !dead && !frozen && !isCut();
+        return !dead && !paused && !isPartitioned();
     }
 
-    /**
-     * Tells whether the process runs now.
-     *
-     * @return Whether it does.
-     */
+    /** Tells whether the process runs now. */
     boolean runs() {
-        return !dead && !frozen;
+        return !dead && !paused;
     }
 
-    /**
-     * Tells whether the process reaches nobody.
-     *
-     * @return Whether it is cut off.
-     */
-    boolean isCut() {
-        return timeline.now() < cutUntilMillis;
+    /** Tells whether the process is partitioned from all others now. */
+    boolean isPartitioned() {
+        return scheduler.now() < partitionedUntilMillis;
     }
 
-    /**
-     * Runs an action unless the process is dead or frozen.
-     *
-     * @param action The action.
-     */
+    /** Runs an action unless the process is dead, or defers it while paused. */
     private void runNow(Runnable action) {
-        if (frozen) {
+        if (paused) {
             deferred.add(action);
         } else if (!dead) {
             action.run();
         }
     }
 
-    /** Thaws the process and runs what fell due. */
-    private void thaw() {
-        frozen = false;
-        timeline.note(name + " thaws");
-        List<Runnable> late = List.copyOf(deferred);
+    /** Resumes the process and runs the deferred actions. */
+    private void resume() {
+        paused = false;
+        scheduler.trace(name + " resumes");
+        List<Runnable> dueActions = List.copyOf(deferred);
         deferred.clear();
-        late.forEach(this::runNow);
+        dueActions.forEach(this::runNow);
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulationContext.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/SimulationContext.java
@@ -9,152 +9,95 @@
 import java.util.function.Supplier;
 
 /**
- * The clock, the log and the faults of one run.
+ * The virtual time, the log and the faults of one run.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class SimulationContext {
 
-    /** The time for which a process is frozen in milliseconds, longer than a lease and its margin. */
+    /** The time for which a process is paused; longer than a lease and its margin. */
     static final long FREEZE_MILLIS = 10_000;
 
-    /** The time for which a process is cut off or the log is down in milliseconds. */
+    /** The time for which a process is partitioned or the log is unavailable. */
     static final long OUTAGE_MILLIS = 10_000;
 
-    /** The time by which a slow message is late in milliseconds. */
+    /** The time by which a slow message is delayed. */
     static final long SLOW_MILLIS = 3_000;
 
-    /** The shortest time that a message takes in milliseconds. */
-    private static final int SHORTEST_MILLIS = 1;
+    private static final int MINIMUM_LATENCY_MILLIS = 1;
 
-    /** The range of the time that a message takes in milliseconds. */
-    private static final int RANGE_MILLIS = 10;
+    /** The range of random latency added to the minimum. */
+    private static final int LATENCY_RANGE_MILLIS = 10;
 
-    /** The clock. */
-    private final VirtualScheduler timeline = new VirtualScheduler();
+    private final VirtualScheduler scheduler = new VirtualScheduler();
 
-    /** The log. */
-    private final FakeLog log = new FakeLog(timeline);
+    private final FakeLog log = new FakeLog(scheduler);
 
-    /** The faults that were not injected yet. */
+    /** The faults not injected yet. */
     private final List<FaultInjection> injections;
 
-    /** The mechanisms that are off. */
     private final Set<Mechanism> off;
 
-    /** The source of message times. */
+    /** The source of message latencies. */
     private final Random random;
 
-    /** Whether a process was cut off. */
-    private boolean cut;
+    /** Whether a process was partitioned during the run. */
+    private boolean partitioned;
 
-    /** What an eviction does. */
+    /** The action of an eviction. */
     private Runnable eviction = () -> {};
 
-    /** What a second operator does. */
-    private Runnable race = () -> {};
+    /** The action of a second operator. */
+    private Runnable operatorAction = () -> {};
 
-    /** What a crossed answer does. */
-    private Consumer<SimulatedProcess> crossing = process -> {};
+    /** The action that makes the next answer to a process one that belongs to another request. */
+    private Consumer<SimulatedProcess> misdelivery = process -> {};
 
-    /**
-     * Creates a world.
-     *
-     * @param injections The faults.
-     * @param off The mechanisms that are off.
-     * @param seed The seed of message times.
-     */
     SimulationContext(List<FaultInjection> injections, Set<Mechanism> off, long seed) {
         this.injections = new ArrayList<>(injections);
         this.off = off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
         this.random = new Random(seed);
     }
 
-    /**
-     * Returns the log.
-     *
-     * @return The log.
-     */
     FakeLog log() {
         return log;
     }
 
-    /**
-     * Returns the clock.
-     *
-     * @return The clock.
-     */
-    VirtualScheduler timeline() {
-        return timeline;
+    VirtualScheduler scheduler() {
+        return scheduler;
     }
 
-    /**
-     * Returns the present time.
-     *
-     * @return The time in milliseconds.
-     */
     long now() {
-        return timeline.now();
+        return scheduler.now();
     }
 
-    /**
-     * Tells whether a mechanism works.
-     *
-     * @param mechanism The mechanism.
-     * @return Whether it does.
-     */
-    boolean on(Mechanism mechanism) {
+    /** Tells whether a mechanism is switched on. */
+    boolean isEnabled(Mechanism mechanism) {
         return !off.contains(mechanism);
     }
 
-    /**
-     * Returns the number of faults that no step reached.
-     *
-     * @return The number.
-     */
+    /** Returns the number of faults whose step was not reached. */
     int notReached() {
         return injections.size();
     }
 
-    /**
-     * Tells whether a process was cut off.
-     *
-     * @return Whether one was.
-     */
-    boolean wasCut() {
-        return cut;
+    /** Tells whether a process was partitioned during the run. */
+    boolean wasPartitioned() {
+        return partitioned;
     }
 
-    /**
-     * Sets what an eviction, a second operator and a crossed answer do.
-     *
-     * @param evict What an eviction does.
-     * @param act What a second operator does.
-     * @param cross What a crossed answer does to a process.
-     */
-    void onFaults(Runnable evict, Runnable act, Consumer<SimulatedProcess> cross) {
+    /** Sets what an eviction, a second operator and a misdelivered answer do. */
+    void onFaults(Runnable evict, Runnable operate, Consumer<SimulatedProcess> misdeliver) {
         eviction = evict;
-        race = act;
-        crossing = cross;
+        operatorAction = operate;
+        misdelivery = misdeliver;
     }
 
-    /**
-     * Creates a process.
-     *
-     * @param name The name.
-     * @return The process.
-     */
     SimulatedProcess process(String name) {
-        return new SimulatedProcess(name, timeline);
+        return new SimulatedProcess(name, scheduler);
     }
 
-    /**
-     * Does a step, with the faults that are to be injected there.
-     *
-     * @param process The process.
-     * @param step The step.
-     * @param action What the step does.
-     */
+    /** Runs a step, and injects the faults that are due there. */
     void step(SimulatedProcess process, Step step, Runnable action) {
         FaultInjection injection = injections.stream()
                 .filter(candidate -> candidate.step() == step)
@@ -165,26 +108,23 @@
             return;
         }
         injections.remove(injection);
-        timeline.note(process.name() + " " + injection);
+        scheduler.trace(process.name() + " " + injection);
         if (injection.after()) {
             action.run();
-            strike(process, injection.fault(), () -> {});
+            inject(process, injection.fault(), () -> {});
         } else {
-            strike(process, injection.fault(), () -> step(process, step, action));
+            inject(process, injection.fault(), () -> step(process, step, action));
         }
     }
 
     /**
-     * Calls a far end.
+     * Calls another process over the simulated network.
      *
-     * @param from The process that calls.
-     * @param far What the far end does; null means that it does not answer.
-     * @param answer Takes the answer.
-     * @param failure Runs if no answer came in time.
-     * @param timeoutMillis The time after which the call is given up in milliseconds.
-     * @param <T> The type of the answer.
+     * @param callee Runs at the callee; null means that it does not answer.
+     * @param answer Receives the answer at the caller.
+     * @param failure Runs if no answer came within the timeout.
      */
-    <T> void call(SimulatedProcess from, Supplier<T> far, Consumer<T> answer, Runnable failure, long timeoutMillis) {
+    <T> void call(SimulatedProcess from, Supplier<T> callee, Consumer<T> answer, Runnable failure, long timeoutMillis) {
         boolean[] ended = new boolean[1];
         Runnable once = () -> {
             if (!ended[0]) {
@@ -193,19 +133,19 @@
             }
         };
         from.run(timeoutMillis, once);
-        if (from.isCut()) {
+        if (from.isPartitioned()) {
             return;
         }
-        boolean twice = from.takesDouble();
-        boolean lost = from.takesLoss();
-        timeline.after(latency(), () -> {
-            T result = far.get();
-            T repeated = twice ? far.get() : result;
-            if (result == null || repeated == null || lost) {
+        boolean duplicated = from.consumeDuplicate();
+        boolean answerLost = from.consumeLoss();
+        scheduler.after(latency(), () -> {
+            T result = callee.get();
+            T repeated = duplicated ? callee.get() : result;
+            if (result == null || repeated == null || answerLost) {
                 return;
             }
             from.run(latency(), () -> {
-                if (!ended[0] && !from.isCut()) {
+                if (!ended[0] && !from.isPartitioned()) {
                     ended[0] = true;
                     answer.accept(result);
                 }
@@ -213,14 +153,8 @@
         });
     }
 
-    /**
-     * Injects a fault.
-     *
-     * @param process The process.
-     * @param fault The fault.
-     * @param action What the step does after it.
-     */
-    private void strike(SimulatedProcess process, Fault fault, Runnable action) {
+    /** Injects a fault, followed by the rest of the step. */
+    private void inject(SimulatedProcess process, Fault fault, Runnable action) {
         switch (fault) {
             case KILL -> process.kill();
             case FREEZE -> {
@@ -229,8 +163,8 @@
             }
             case SLOW -> process.run(SLOW_MILLIS, action);
             case CUT -> {
-                cut = true;
-                process.cut(OUTAGE_MILLIS);
+                partitioned = true;
+                process.partition(OUTAGE_MILLIS);
                 action.run();
             }
             case LOG_OUTAGE -> {
@@ -238,15 +172,15 @@
                 action.run();
             }
             case LOST_ANSWER -> {
-                process.loseAnswer();
+                process.loseNextAnswer();
                 action.run();
             }
             case DUPLICATE -> {
-                process.doubleMessage();
+                process.duplicateNextMessage();
                 action.run();
             }
             case CROSSED_ANSWER -> {
-                crossing.accept(process);
+                misdelivery.accept(process);
                 action.run();
             }
             case EVICTION -> {
@@ -254,28 +188,19 @@
                 action.run();
             }
             default -> {
-                race.run();
+                operatorAction.run();
                 action.run();
             }
         }
     }
 
-    /**
-     * Draws a time, by which processes are out of step.
-     *
-     * @param rangeMillis The range in milliseconds.
-     * @return The time in milliseconds, below the range.
-     */
-    long draw(long rangeMillis) {
+    /** Returns a random time below a bound in milliseconds, so that processes don't run in step. */
+    long randomMillis(long rangeMillis) {
         return random.nextInt((int) rangeMillis);
     }
 
-    /**
-     * Draws the time that a message takes.
-     *
-     * @return The time in milliseconds.
-     */
+    /** Returns the random latency of a message in milliseconds. */
     private long latency() {
-        return SHORTEST_MILLIS + random.nextInt(RANGE_MILLIS);
+        return MINIMUM_LATENCY_MILLIS + random.nextInt(LATENCY_RANGE_MILLIS);
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Step.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Step.java
@@ -4,13 +4,13 @@
 enum Step {
     /** A call is reserved in the log. */
     RESERVE,
-    /** A reserved call is sent. */
+    /** A reserved call is dispatched. */
     DISPATCH,
-    /** The backend server has the call. */
+    /** The first byte of the answer arrives. */
     FIRST_BYTE,
-    /** Half of the answer is there. */
+    /** Half of the answer has arrived. */
     MID_STREAM,
-    /** The whole answer is there. */
+    /** The last byte of the answer arrives. */
     LAST_BYTE,
     /** The outcome is written to the log. */
     RECORD,
@@ -18,17 +18,17 @@
     CLAIM,
     /** The lease is renewed. */
     RENEW,
-    /** The intent of an order is written. */
+    /** The intent of an order is appended. */
     INTENT,
     /** An order is sent, after the lease was checked. */
     ORDER,
-    /** The answer to an order is taken. */
+    /** The answer to an order is processed. */
     ANSWER,
-    /** A change of the configuration is written. */
+    /** A configuration change is appended. */
     APPEND,
-    /** A gateway applies a change. */
+    /** A gateway applies a configuration change. */
     APPLY,
-    /** A gateway is asked to confirm a change. */
+    /** A gateway is asked to confirm a configuration change. */
     CONFIRM,
     /** Usage is written to the log. */
     DELTA,
@@ -36,11 +36,11 @@
     CLOSE,
     /** A usage window is reported. */
     REPORT,
-    /** A drain is written to the log. */
+    /** A drain is appended to the log. */
     DRAIN_START,
-    /** A gateway sends a request by what it knows of drains. */
+    /** A gateway sends a request according to the drains it knows. */
     DRAIN_APPLY,
-    /** Gateways and running requests are awaited. */
+    /** The controller waits for the gateways and the running requests. */
     DRAIN_WAIT,
     /** The drained backend server is handed back. */
     HAND_BACK
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/StreamScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/StreamScenario.java
@@ -5,60 +5,55 @@
 import java.util.stream.IntStream;
 
 /**
- * A gateway passes an engine's stream on to a caller, and resumes it on the other engine when it breaks.
+ * A gateway relays an engine's stream to a caller, and resumes it on the other engine if it breaks.
  *
- * <p>The actors mirror the gateway's chat call, which is no pure state machine: an event of another attempt is dropped, a stream
- * that breaks or falls silent goes on elsewhere from the tokens already delivered. A connection keeps the order of bytes, so
- * that a lost answer is a connection that breaks. Tokens are counted by the caller. Used by one thread.
+ * <p>The gateway's chat call is no pure state machine, so this scenario reimplements its rules: an event of another
+ * attempt is dropped; a stream that breaks or stalls is resumed on the other engine after the tokens already
+ * delivered. A connection keeps the order of bytes, so a lost answer is a broken connection. The caller counts tokens.
+ * Not thread-safe.
  */
 final class StreamScenario implements Scenario {
 
-    /** The length of a run in milliseconds. */
     private static final long RUN_MILLIS = 40_000;
 
-    /** The number of tokens of the answer. */
+    /** The length of the answer. */
     private static final int TOKENS = 40;
 
-    /** The time between two tokens in milliseconds. */
-    private static final long TOKEN_MILLIS = 50;
+    /** The interval between two tokens. */
+    private static final long TOKEN_INTERVAL_MILLIS = 50;
 
-    /** The time that an event takes to the gateway in milliseconds. */
-    private static final long TRAVEL_MILLIS = 2;
+    /** The network latency of an event. */
+    private static final long LATENCY_MILLIS = 2;
 
-    /** The time without an event after which a stream is broken in milliseconds. */
-    private static final long SILENCE_MILLIS = 1_000;
+    /** The time without an event after which a stream counts as broken. */
+    private static final long STALL_TIMEOUT_MILLIS = 1_000;
 
-    /** The highest number of attempts. */
-    private static final int ATTEMPTS = 16;
+    private static final int MAXIMUM_ATTEMPTS = 16;
 
-    /** The tokens that the caller got. */
+    /** The tokens that the caller received. */
     private final List<String> received = new ArrayList<>();
 
-    /** The world. */
-    private SimulationContext world;
+    private SimulationContext context;
 
-    /** The gateway. */
     private SimulatedProcess gateway;
 
-    /** The number of attempts so far. */
     private int attempt;
 
-    /** The time of the last event in milliseconds. */
     private long lastEventMillis;
 
-    /** Whether the first engine is gone. */
+    /** Whether the first engine is evicted. */
     private boolean evicted;
 
-    /** Whether the next event belongs to another request. */
-    private boolean crossed;
+    /** Whether the next event is one that belongs to another request. */
+    private boolean misdeliverNext;
 
     /** Whether the present connection is broken. */
     private boolean broken;
 
-    /** Whether the caller was told that the answer is whole. */
+    /** Whether the caller was told that the answer is complete. */
     private boolean done;
 
-    /** Whether the caller was told of an error or lost its connection. */
+    /** Whether the caller received an error or lost its connection. */
     private boolean failed;
 
     @Override
@@ -67,114 +62,101 @@
     }
 
     @Override
-    public List<Finding> run(SimulationContext present) {
-        world = present;
-        gateway = world.process("gateway");
-        world.onFaults(() -> evicted = true, () -> {}, process -> crossed = true);
-        gateway.run(1, this::next);
-        gateway.every(TOKEN_MILLIS, this::watch);
-        world.timeline().runUntil(RUN_MILLIS);
+    public List<Finding> run(SimulationContext runContext) {
+        context = runContext;
+        gateway = context.process("gateway");
+        context.onFaults(() -> evicted = true, () -> {}, process -> misdeliverNext = true);
+        gateway.run(1, this::startAttempt);
+        gateway.every(TOKEN_INTERVAL_MILLIS, this::resumeIfBroken);
+        context.scheduler().runUntil(RUN_MILLIS);
         List<String> whole =
                 IntStream.range(0, TOKENS).mapToObj(index -> "own " + index).toList();
         boolean wrong = !whole.subList(0, Math.min(TOKENS, received.size())).equals(received);
         boolean silent = done && received.size() != TOKENS;
-        boolean callerLost = gateway.isDead() || failed && world.wasCut();
+        boolean callerLost = gateway.isDead() || failed && context.wasPartitioned();
         boolean unfinished = !done && !callerLost;
         String counted = "tokens " + received.size() + " of " + TOKENS + ", done " + done + ", attempts " + attempt;
         return List.of(Finding.of(Invariant.WHOLE_STREAM, wrong || silent || unfinished, !done, counted));
     }
 
-    /** Begins the next attempt, from the tokens already delivered. */
-    private void next() {
+    /** Starts the next attempt, after the tokens already delivered. */
+    private void startAttempt() {
         if (done || failed) {
             return;
         }
-        if (attempt == ATTEMPTS || attempt > 0 && !world.on(Mechanism.RESUME)) {
+        if (attempt == MAXIMUM_ATTEMPTS || attempt > 0 && !context.isEnabled(Mechanism.RESUME)) {
             failed = true;
-            world.timeline().note("caller gets an explicit error after " + received.size() + " tokens");
+            context.scheduler().trace("caller receives an error after " + received.size() + " tokens");
             return;
         }
         attempt++;
         broken = false;
-        lastEventMillis = world.now();
-        world.timeline().note("attempt " + attempt + " from token " + received.size());
+        lastEventMillis = context.now();
+        context.scheduler().trace("attempt " + attempt + " from token " + received.size());
         emit(attempt, received.size());
     }
 
     /**
-     * Lets an engine emit the next token of an attempt; it goes on after the gateway gave the attempt up.
-     *
-     * @param number The number of the attempt.
-     * @param token The number of the token.
+     * Lets an engine emit the next token of an attempt; the engine continues after the gateway has abandoned the
+     * attempt.
      */
     private void emit(int number, int token) {
-        world.timeline().after(TOKEN_MILLIS, () -> {
-            boolean gone = evicted && number % 2 == 1;
-            if (gone || token == TOKENS) {
+        context.scheduler().after(TOKEN_INTERVAL_MILLIS, () -> {
+            boolean engineEvicted = evicted && number % 2 == 1;
+            if (engineEvicted || token == TOKENS) {
                 return;
             }
-            if (!gateway.isCut()) {
-                gateway.run(TRAVEL_MILLIS, () -> step(number, token));
+            if (!gateway.isPartitioned()) {
+                gateway.run(LATENCY_MILLIS, () -> step(number, token));
             }
             emit(number, token + 1);
         });
     }
 
-    /**
-     * Takes an event, with the faults that strike there.
-     *
-     * @param number The number of the attempt.
-     * @param token The number of the token.
-     */
+    /** Handles an event at its protocol step, where faults are injected. */
     private void step(int number, int token) {
         if (token == 0) {
-            world.step(gateway, Step.FIRST_BYTE, () -> take(number, token));
+            context.step(gateway, Step.FIRST_BYTE, () -> receive(number, token));
         } else if (token == TOKENS - 1) {
-            world.step(gateway, Step.LAST_BYTE, () -> take(number, token));
+            context.step(gateway, Step.LAST_BYTE, () -> receive(number, token));
         } else if (token == TOKENS / 2) {
-            world.step(gateway, Step.MID_STREAM, () -> take(number, token));
+            context.step(gateway, Step.MID_STREAM, () -> receive(number, token));
         } else {
-            take(number, token);
+            receive(number, token);
         }
     }
 
-    /**
-     * Takes an event.
-     *
-     * @param number The number of the attempt.
-     * @param token The number of the token.
-     */
-    private void take(int number, int token) {
-        if (gateway.takesLoss()) {
+    private void receive(int number, int token) {
+        if (gateway.consumeLoss()) {
             broken = true;
         }
-        boolean others = crossed;
-        crossed = false;
-        boolean stale = number != attempt || others;
-        if (done || failed || broken || world.on(Mechanism.ATTEMPT_CHECK) && stale) {
-            broken |= others;
+        boolean misdelivered = misdeliverNext;
+        misdeliverNext = false;
+        boolean stale = number != attempt || misdelivered;
+        if (done || failed || broken || context.isEnabled(Mechanism.ATTEMPT_CHECK) && stale) {
+            broken |= misdelivered;
             return;
         }
-        if (world.on(Mechanism.ATTEMPT_CHECK) && token != received.size()) {
+        if (context.isEnabled(Mechanism.ATTEMPT_CHECK) && token != received.size()) {
             broken = true;
             return;
         }
-        if (gateway.isCut()) {
+        if (gateway.isPartitioned()) {
             failed = true;
             return;
         }
-        lastEventMillis = world.now();
-        received.add((others ? "other " : "own ") + token);
+        lastEventMillis = context.now();
+        received.add((misdelivered ? "other " : "own ") + token);
         if (token == TOKENS - 1) {
             done = true;
         }
     }
 
-    /** Resumes a stream that broke or fell silent. */
-    private void watch() {
-        boolean silent = world.now() - lastEventMillis > SILENCE_MILLIS;
+    /** Resumes a stream that broke or stalled. */
+    private void resumeIfBroken() {
+        boolean silent = context.now() - lastEventMillis > STALL_TIMEOUT_MILLIS;
         if (!done && !failed && attempt > 0 && (broken || silent)) {
-            next();
+            startAttempt();
         }
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/UsageScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/UsageScenario.java
@@ -17,67 +17,58 @@
 import org.cranberrygauge.model.record.UsageKey;
 
 /**
- * A gateway counts usage, two controllers close and report its windows.
+ * A gateway counts usage; two controllers close and report its windows.
  *
- * <p>Calls are counted by the engine, reports by the platform. Used by one thread.
+ * <p>The engine counts calls, the platform counts reports. Not thread-safe.
  */
 final class UsageScenario implements Scenario {
 
-    /** The length of a run in milliseconds. */
     private static final long RUN_MILLIS = 80_000;
 
-    /** The time of the last call in milliseconds. */
     private static final long LAST_CALL_MILLIS = 30_000;
 
-    /** The time between two calls in milliseconds. */
+    /** The interval between two calls. */
     private static final long CALL_MILLIS = 40;
 
-    /** The time between two deltas in milliseconds. */
+    /** The interval between two deltas. */
     private static final long DELTA_MILLIS = 500;
 
-    /** The length of a window in milliseconds. */
     private static final long WINDOW_MILLIS = 5_000;
 
-    /** The time after which a report is given up in milliseconds. */
-    private static final long REPORT_MILLIS = 1_000;
+    private static final long REPORT_TIMEOUT_MILLIS = 1_000;
 
-    /** The time between two copies to the peer in milliseconds. */
+    /** The interval between two copies to the peer. */
     private static final long COPY_MILLIS = 200;
 
-    /** The time without a copy after which the peer writes what it holds in milliseconds. */
-    private static final long SILENT_MILLIS = 2_000;
+    /** The time without a copy after which the peer writes the copy it holds. */
+    private static final long SILENCE_TIMEOUT_MILLIS = 2_000;
 
-    /** The highest number of calls that may be lost with a gateway: those of one copy's interval and its travel. */
-    private static final long LOST_CALLS = (COPY_MILLIS + CALL_MILLIS) / CALL_MILLIS + 1;
+    /** The maximum number of calls that may be lost with a gateway: those between two copies, and those in flight. */
+    private static final long MAXIMUM_LOST_CALLS = (COPY_MILLIS + CALL_MILLIS) / CALL_MILLIS + 1;
 
-    /** The highest number of keys that the peer holds. */
-    private static final int HELD_KEYS = 100;
+    /** The maximum number of keys that the peer holds. */
+    private static final int MAXIMUM_HELD_KEYS = 100;
 
-    /** What the calls are counted by. */
+    /** The key under which calls are counted. */
     private static final UsageKey KEY = new UsageKey("customer", "class");
 
-    /** The figures of each report by window, as the platform got them. */
+    /** The calls in each report that the platform received, by window. */
     private final Map<Long, List<Long>> reports = new TreeMap<>();
 
-    /** The controllers. */
-    private final List<UsageReportingController> reporters = new ArrayList<>();
+    private final List<UsageReportingController> controllers = new ArrayList<>();
 
-    /** The counter of the gateway. */
     private final UsageCounter counter = new UsageCounter("gateway");
 
-    /** The world. */
-    private SimulationContext world;
+    private SimulationContext context;
 
-    /** The gateway. */
     private SimulatedProcess gateway;
 
-    /** The gateway's view of the log. */
     private LogClient gatewayLog;
 
     /** The number of calls that the engine ran. */
     private long engineCalls;
 
-    /** The calls that the last increment covered, if usage is written as increments. */
+    /** The calls covered by increments so far, if usage is not cumulative. */
     private long covered;
 
     @Override
@@ -86,174 +77,148 @@
     }
 
     @Override
-    public List<Finding> run(SimulationContext present) {
-        world = present;
-        gateway = world.process("gateway");
-        gatewayLog = new LogClient(world, gateway, effect -> {});
+    public List<Finding> run(SimulationContext runContext) {
+        context = runContext;
+        gateway = context.process("gateway");
+        gatewayLog = new LogClient(context, gateway, applied -> {});
         gateway.every(CALL_MILLIS, this::call);
-        gateway.every(DELTA_MILLIS, this::ship);
+        gateway.every(DELTA_MILLIS, this::appendUsage);
         gatewayLog.append(new GatewayJoined("gateway", "host", "data-centre", "address"));
-        if (world.on(Mechanism.USAGE_COPY)) {
-            holdCopies();
+        if (context.isEnabled(Mechanism.USAGE_COPY)) {
+            replicateUsage();
         }
-        reporters.add(new UsageReportingController("a"));
-        reporters.add(new UsageReportingController("b"));
-        world.onFaults(
+        controllers.add(new UsageReportingController("a"));
+        controllers.add(new UsageReportingController("b"));
+        context.onFaults(
                 () -> {},
                 () -> {},
-                process -> reporters.forEach(reporter -> reporter.crossed |= reporter.holder.process() == process));
-        world.timeline().runUntil(RUN_MILLIS);
-        boolean differ = reports.values().stream().anyMatch(figures -> new HashSet<>(figures).size() > 1);
+                process -> controllers.forEach(
+                        controller -> controller.misdeliverNext |= controller.holder.process() == process));
+        context.scheduler().runUntil(RUN_MILLIS);
+        boolean figuresDiffer = reports.values().stream().anyMatch(figures -> new HashSet<>(figures).size() > 1);
         long reported =
                 reports.values().stream().mapToLong(figures -> figures.get(0)).sum();
-        boolean nobody = reporters.stream()
-                .allMatch(reporter -> reporter.holder.process().isDead());
-        boolean lossAllowed = gateway.isDead() || nobody;
+        boolean allControllersDead = controllers.stream()
+                .allMatch(controller -> controller.holder.process().isDead());
+        boolean lossAllowed = gateway.isDead() || allControllersDead;
         long lost = engineCalls - reported;
-        boolean tooMuchLost = gateway.isDead() && !nobody && lost > LOST_CALLS;
+        boolean tooMuchLost = gateway.isDead() && !allControllersDead && lost > MAXIMUM_LOST_CALLS;
         boolean wrong = lost < 0 || lost > 0 && !lossAllowed || tooMuchLost;
         String counted = "engine " + engineCalls + " calls, reported " + reported + ", reports " + reports;
         return List.of(
-                Finding.of(Invariant.ONE_REPORT, differ, nobody, counted),
+                Finding.of(Invariant.ONE_REPORT, figuresDiffer, allControllersDead, counted),
                 Finding.of(Invariant.EXACT_USAGE, wrong, reported < engineCalls, counted));
     }
 
-    /** Lets a peer hold copies and write those of a gateway that is silent. */
-    private void holdCopies() {
-        SimulatedProcess peer = world.process("peer");
-        LogClient peerLog = new LogClient(world, peer, effect -> {});
-        UsageCopies copies = new UsageCopies(HELD_KEYS, SILENT_MILLIS);
+    /** Lets a peer hold copies of usage and write those of a silent gateway. */
+    private void replicateUsage() {
+        SimulatedProcess peer = context.process("peer");
+        LogClient peerLog = new LogClient(context, peer, applied -> {});
+        UsageCopies copies = new UsageCopies(MAXIMUM_HELD_KEYS, SILENCE_TIMEOUT_MILLIS);
         gateway.every(COPY_MILLIS, () -> {
             UsageDelta copy = new UsageDelta("gateway", 0, counter.totals());
-            world.call(gateway, () -> copies.hold(world.now(), copy), held -> {}, () -> {}, COPY_MILLIS);
+            context.call(gateway, () -> copies.hold(context.now(), copy), held -> {}, () -> {}, COPY_MILLIS);
         });
         peer.every(DELTA_MILLIS, () -> {
             Set<String> members = peerLog.state().members().contains("gateway") ? Set.of("gateway") : Set.of();
             if (peerLog.isIdle()) {
-                copies.due(world.now(), peerLog.state().usage(), members).forEach(peerLog::append);
+                copies.due(context.now(), peerLog.state().usage(), members).forEach(peerLog::append);
             }
         });
     }
 
-    /** Runs a call; a gateway that is cut off reaches no engine either. */
+    /** Runs a call; a partitioned gateway doesn't reach the engine either. */
     private void call() {
-        if (world.now() <= LAST_CALL_MILLIS && !gateway.isCut()) {
+        if (context.now() <= LAST_CALL_MILLIS && !gateway.isPartitioned()) {
             engineCalls++;
             counter.count(KEY, new UsageFigures(1, 0, 0));
         }
     }
 
-    /** Writes usage to the log. */
-    private void ship() {
+    /** Writes new usage to the log. */
+    private void appendUsage() {
         if (!counter.isDirty()) {
             return;
         }
         UsageDelta delta = counter.next();
-        if (world.on(Mechanism.CUMULATIVE_USAGE)) {
+        if (context.isEnabled(Mechanism.CUMULATIVE_USAGE)) {
             counter.confirm(delta);
-            world.step(gateway, Step.DELTA, () -> gatewayLog.append(delta));
+            context.step(gateway, Step.DELTA, () -> gatewayLog.append(delta));
             return;
         }
         long increment = counter.totals().get(KEY).calls() - covered;
         covered += increment;
-        world.step(gateway, Step.DELTA, () -> sendIncrement(increment));
+        context.step(gateway, Step.DELTA, () -> sendIncrement(increment));
     }
 
-    /**
-     * Writes an increment as a fresh entry each time, until it is answered.
-     *
-     * @param increment The number of calls.
-     */
+    /** Writes an increment as a new entry on every try until it is acknowledged, without deduplication. */
     private void sendIncrement(long increment) {
-        world.call(
+        context.call(
                 gateway,
-                () -> world.log().isDown() ? null : appendIncrement(increment),
+                () -> context.log().isDown() ? null : appendIncrement(increment),
                 offset -> {},
                 () -> sendIncrement(increment),
                 DELTA_MILLIS);
     }
 
-    /**
-     * Appends an increment, which readers add up.
-     *
-     * @param increment The number of calls.
-     * @return The offset.
-     */
+    /** Appends an increment, which readers add up, and returns its offset. */
     private long appendIncrement(long increment) {
-        long number = world.log().endOffset() + 1;
+        long number = context.log().endOffset() + 1;
         Map<UsageKey, UsageFigures> figures = Map.of(KEY, new UsageFigures(increment, 0, 0));
         UsageDelta delta = new UsageDelta("increment-" + number, 1, figures);
-        return world.log()
+        return context.log()
                 .append(new org.cranberrygauge.model.record.LogEntry("increment-" + number, 1, List.of(delta)));
     }
 
-    /** One controller. */
+    /** A simulated controller, which closes and reports usage windows while it holds the lease. */
     private final class UsageReportingController {
 
-        /** The lease. */
         private final LeaseHolder holder;
 
-        /** The time of the last close in milliseconds. */
         private long closedAtMillis;
 
-        /** Whether a report is under way. */
         private boolean reporting;
 
-        /** Whether the next answer belongs to another report. */
-        private boolean crossed;
+        /** Whether the next answer is one that belongs to another report. */
+        private boolean misdeliverNext;
 
-        /**
-         * Creates a controller.
-         *
-         * @param name The name.
-         */
         private UsageReportingController(String name) {
-            holder = new LeaseHolder(world, name, effect -> {}, this::tick);
+            holder = new LeaseHolder(context, name, applied -> {}, this::tick);
         }
 
-        /** Closes and reports what is due. */
+        /** Closes the window and reports the next one if due. */
         private void tick() {
             UsageLedger ledger = holder.log().state().usage();
-            if (world.now() - closedAtMillis >= WINDOW_MILLIS) {
-                closedAtMillis = world.now();
+            if (context.now() - closedAtMillis >= WINDOW_MILLIS) {
+                closedAtMillis = context.now();
                 WindowClose close = new WindowClose(
                         ledger.lastClosed() + 1,
                         holder.process().name(),
-                        holder.keeper().fencingNumber());
-                world.step(holder.process(), Step.CLOSE, () -> holder.log().append(close));
+                        holder.elector().fencingNumber());
+                context.step(holder.process(), Step.CLOSE, () -> holder.log().append(close));
             }
             if (!reporting) {
                 ledger.nextToReport().ifPresent(this::report);
             }
         }
 
-        /**
-         * Reports a window.
-         *
-         * @param window The window.
-         */
         private void report(UsageLedger.ClosedWindow window) {
             reporting = true;
-            world.step(
+            context.step(
                     holder.process(),
                     Step.REPORT,
-                    () -> world.call(
+                    () -> context.call(
                             holder.process(),
-                            () -> take(window.windowId(), figures(window)),
-                            this::acknowledged,
+                            () -> onReport(window.windowId(), figures(window)),
+                            this::onAcknowledgement,
                             () -> reporting = false,
-                            REPORT_MILLIS));
+                            REPORT_TIMEOUT_MILLIS));
         }
 
-        /**
-         * Returns the calls of a window; without the prefix rule, those that this controller has read of by now.
-         *
-         * @param window The window.
-         * @return The number of calls.
-         */
+        /** Returns the calls of a window; without the prefix rule, those that this controller has read of by now. */
         private long figures(UsageLedger.ClosedWindow window) {
             long calls = window.figures().getOrDefault(KEY, UsageFigures.none()).calls();
-            if (world.on(Mechanism.PREFIX_WINDOW)) {
+            if (context.isEnabled(Mechanism.PREFIX_WINDOW)) {
                 return calls;
             }
             return calls
@@ -265,32 +230,23 @@
                             .calls();
         }
 
-        /**
-         * Takes a report at the platform.
-         *
-         * @param windowId The number of the window.
-         * @param calls The number of calls.
-         * @return The number of the window.
-         */
-        private Long take(long windowId, long calls) {
+        /** Handles a report at the platform. */
+        private Long onReport(long windowId, long calls) {
             reports.computeIfAbsent(windowId, number -> new ArrayList<>()).add(calls);
-            world.timeline()
-                    .note("platform gets window " + windowId + ": " + calls + " of "
+            context.scheduler()
+                    .trace("platform gets window " + windowId + ": " + calls + " of "
                             + holder.process().name());
             return windowId;
         }
 
-        /**
-         * Takes the answer to a report.
-         *
-         * @param windowId The number of the window that the answer names.
-         */
-        private void acknowledged(long windowId) {
+        /** Handles the acknowledgement of a report. */
+        private void onAcknowledgement(long windowId) {
             reporting = false;
-            if (!crossed) {
-                holder.log().append(new WindowReported(windowId, holder.keeper().fencingNumber()));
+            if (!misdeliverNext) {
+                holder.log()
+                        .append(new WindowReported(windowId, holder.elector().fencingNumber()));
             }
-            crossed = false;
+            misdeliverNext = false;
         }
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/package-info.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/package-info.java
@@ -1,2 +1,5 @@
-/** The search of the freshness rule and the fault matrix over the pure state machines. */
+/**
+ * Fault injection into the protocols' state machines (the fault matrix), and the exhaustive search of the admission
+ * freshness rule.
+ */
 package org.cranberrygauge.verification.faults;
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/faults/FaultMatrixTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/faults/FaultMatrixTest.java
@@ -25,19 +25,19 @@
 
     @ParameterizedTest
     @EnumSource(Protocol.class)
-    void every_fault_at_every_step_keeps_every_invariant(Protocol protocol) {
+    void every_single_fault_at_every_step_preserves_all_invariants(Protocol protocol) {
         assertThat(descriptions(matrix(Cell.singles(), protocol, Set.of()))).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(Protocol.class)
-    void two_faults_at_once_keep_every_invariant(Protocol protocol) {
+    void two_faults_in_one_run_preserve_all_invariants(Protocol protocol) {
         assertThat(descriptions(matrix(Cell.pairs(SEEDS), protocol, Set.of()))).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(Protocol.class)
-    void every_fault_finds_its_step_and_a_run_without_faults_does_its_work(Protocol protocol) {
+    void every_fault_is_injected_and_a_run_without_faults_passes(Protocol protocol) {
         FaultMatrix matrix = matrix(Cell.singles(), protocol, Set.of());
 
         assertThat(matrix.results()).allMatch(CellResult::reached);
@@ -47,12 +47,12 @@
 
     @ParameterizedTest
     @MethodSource("offs")
-    void the_matrix_fails_without_each_mechanism(Set<Mechanism> off) {
+    void the_matrix_detects_each_missing_mechanism(Set<Mechanism> off) {
         assertThat(FaultMatrix.run(Cell.singles(), off).failures()).isNotEmpty();
     }
 
     @Test
-    void a_seed_gives_the_same_trace_each_time() {
+    void the_same_seed_gives_the_same_trace() {
         Cell cell = Cell.pairs(5).get(4);
 
         assertThat(cell.run(Set.of()).trace()).isEqualTo(cell.run(Set.of()).trace());
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/faults/FreshnessSearchTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/faults/FreshnessSearchTest.java
@@ -14,7 +14,7 @@
     private static final int NEVER_STOP = 3;
 
     @Test
-    void the_cuts_are_all_partitions_with_all_sets_of_readers() {
+    void the_partitions_cover_all_groupings_with_all_sets_of_readers() {
         assertThat(NetworkPartition.all().stream()
                         .mapToInt(NetworkPartition::weight)
                         .sum())
@@ -22,25 +22,25 @@
     }
 
     @Test
-    void no_order_of_events_admits_by_a_key_whose_withdrawal_was_accepted() {
-        List<FreshnessRuleResult> harms =
-                FreshnessPage.search(NetworkPartition.all(), FreshnessSearch.Declaration.DEAD_HOST, DEPTH);
+    void no_sequence_of_events_admits_by_a_key_whose_withdrawal_was_accepted() {
+        List<FreshnessRuleResult> results =
+                FreshnessPage.search(NetworkPartition.all(), FreshnessSearch.RemovalRule.DEAD_HOST, DEPTH);
 
-        assertThat(harms.get(OURS).withdrawnAdmitted()).isZero();
-        assertThat(harms.get(OURS).refusedWithoutNeed())
-                .isLessThan(harms.get(MAJORITY).refusedWithoutNeed());
+        assertThat(results.get(OURS).withdrawnAdmitted()).isZero();
+        assertThat(results.get(OURS).refusedWithoutNeed())
+                .isLessThan(results.get(MAJORITY).refusedWithoutNeed());
     }
 
     @Test
-    void a_gateway_that_never_stops_admits_by_a_withdrawn_key_and_ours_does_not() {
-        List<NetworkPartition> alone = NetworkPartition.all().stream()
-                .filter(cut -> cut.logReaders() != 0 && cut.groups() > 0)
+    void only_a_rule_that_never_stops_admits_by_a_withdrawn_key() {
+        List<NetworkPartition> partitioned = NetworkPartition.all().stream()
+                .filter(partition -> partition.logReaders() != 0 && partition.groups() > 0)
                 .limit(6)
                 .toList();
-        List<FreshnessRuleResult> harms =
-                FreshnessPage.search(alone, FreshnessSearch.Declaration.SILENCE_TO_ALL, DEPTH + 1);
+        List<FreshnessRuleResult> results =
+                FreshnessPage.search(partitioned, FreshnessSearch.RemovalRule.SILENCE_TO_ALL, DEPTH + 1);
 
-        assertThat(harms.get(NEVER_STOP).withdrawnAdmitted()).isPositive();
-        assertThat(harms.get(OURS).withdrawnAdmitted()).isZero();
+        assertThat(results.get(NEVER_STOP).withdrawnAdmitted()).isPositive();
+        assertThat(results.get(OURS).withdrawnAdmitted()).isZero();
     }
 }
