--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/AtMostOnceTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/AtMostOnceTest.java
@@ -11,16 +11,16 @@
 
 class AtMostOnceTest {
 
-    private static InProcessDeployment bench;
+    private static InProcessDeployment deployment;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new InProcessDeployment(InProcessDeployment.Size.of(2, 1, 2));
+        deployment = new InProcessDeployment(InProcessDeployment.DeploymentOptions.of(2, 1, 2));
     }
 
     @AfterAll
     static void stop() throws Exception {
-        bench.close();
+        deployment.close();
     }
 
     @Test
@@ -32,7 +32,7 @@
                 "the other gateway knows the answer",
                 () -> book(1, "answered", "answered", "{}").statusCode() == 200);
         assertThat(book(1, "answered", "answered", "{}").body()).isEqualTo(first.body());
-        assertThat(bench.executions("answered")).isEqualTo(1);
+        assertThat(deployment.executions("answered")).isEqualTo(1);
     }
 
     @Test
@@ -43,13 +43,13 @@
 
         assertThat(other.statusCode()).isEqualTo(409);
         assertThat(InProcessDeployment.errorOf(other).getString("code")).isEqualTo("key_reused");
-        assertThat(bench.executions("reused")).isEqualTo(1);
+        assertThat(deployment.executions("reused")).isEqualTo(1);
     }
 
     @Test
-    void neverRunsAgainWhatMayHaveRun() throws Exception {
-        for (int port : bench.ledgerPorts()) {
-            bench.fault(port, "DROP_AFTER_EFFECT", 1);
+    void neverRetriesACallThatMayHaveRun() throws Exception {
+        for (int port : deployment.ledgerPorts()) {
+            deployment.fault(port, "DROP_AFTER_EFFECT", 1);
         }
 
         assertUnknown(book(0, "lost", "lost", "{}"));
@@ -60,29 +60,29 @@
             return code.equals("outcome_unknown");
         });
         assertUnknown(book(0, "lost", "lost", "{}"));
-        assertThat(bench.executions("lost")).isEqualTo(1);
-        for (int port : bench.ledgerPorts()) {
-            bench.fault(port, "DROP_AFTER_EFFECT", 0);
+        assertThat(deployment.executions("lost")).isEqualTo(1);
+        for (int port : deployment.ledgerPorts()) {
+            deployment.fault(port, "DROP_AFTER_EFFECT", 0);
         }
     }
 
     @Test
-    void sendsAnUnkeyedCallOnceAndSaysThatItsOutcomeIsUnknown() throws Exception {
-        for (int port : bench.ledgerPorts()) {
-            bench.fault(port, "DROP_AFTER_EFFECT", 1);
+    void sendsAnUnkeyedCallOnceAndReportsItsOutcomeAsUnknown() throws Exception {
+        for (int port : deployment.ledgerPorts()) {
+            deployment.fault(port, "DROP_AFTER_EFFECT", 1);
         }
 
         assertUnknown(book(0, null, "unkeyed", "{}"));
 
-        assertThat(bench.executions("unkeyed")).isEqualTo(1);
-        for (int port : bench.ledgerPorts()) {
-            bench.fault(port, "DROP_AFTER_EFFECT", 0);
+        assertThat(deployment.executions("unkeyed")).isEqualTo(1);
+        for (int port : deployment.ledgerPorts()) {
+            deployment.fault(port, "DROP_AFTER_EFFECT", 0);
         }
     }
 
     @Test
     void refusesAKeyedCallAsNotRunWhileTheLogIsDown() throws Exception {
-        bench.fault(bench.platformPort(), "LOG_OUTAGE", 1);
+        deployment.fault(deployment.platformPort(), "LOG_OUTAGE", 1);
 
         HttpResponse<String> refused = book(0, "outage", "outage", "{}");
 
@@ -90,11 +90,11 @@
         assertThat(InProcessDeployment.errorOf(refused).getString("code")).isEqualTo("log_unavailable");
         assertThat(InProcessDeployment.errorOf(refused).getBoolean("not_run")).isTrue();
         assertThat(refused.headers().firstValue("Retry-After")).isPresent();
-        assertThat(bench.executions("outage")).isZero();
-        bench.fault(bench.platformPort(), "LOG_OUTAGE", 0);
+        assertThat(deployment.executions("outage")).isZero();
+        deployment.fault(deployment.platformPort(), "LOG_OUTAGE", 0);
         Await.until(
                 "the key is free again", () -> book(0, "outage", "outage", "{}").statusCode() == 200);
-        assertThat(bench.executions("outage")).isEqualTo(1);
+        assertThat(deployment.executions("outage")).isEqualTo(1);
     }
 
     private static void assertUnknown(HttpResponse<String> answer) {
@@ -112,6 +112,6 @@
             headers.put("Idempotency-Key", idempotencyKey);
         }
         return InProcessDeployment.request(
-                bench.gatewayPort(gateway), "POST", "/services/ledger/bookings", headers, body);
+                deployment.gatewayPort(gateway), "POST", "/services/ledger/bookings", headers, body);
     }
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/BadInputTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/BadInputTest.java
@@ -21,17 +21,17 @@
 
     private static final String KEY = InProcessConfiguration.KEY;
 
-    private static InProcessDeployment bench;
+    private static InProcessDeployment deployment;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 1, 1)
+        deployment = new InProcessDeployment(InProcessDeployment.DeploymentOptions.of(1, 1, 1)
                 .withSettings("--body-timeout-millis=200", "--body-limit-bytes=20000", "--header-limit-bytes=4096"));
     }
 
     @AfterAll
     static void stop() throws Exception {
-        bench.close();
+        deployment.close();
     }
 
     @ParameterizedTest
@@ -55,24 +55,24 @@
                 "{\"model\":\"amber-large\",\"max_tokens\":-1,\"messages\":[{\"role\":\"user\",\"content\":\"a\"}]}",
                 "{\"model\":\"amber-large\",\"n\":2,\"messages\":[{\"role\":\"user\",\"content\":\"a\"}]}"
             })
-    void refusesABodyThatIsNoCompletion(String body) throws Exception {
-        assertRefused(bench.chat(0, KEY, body), 400, "invalid_request");
+    void refusesABodyThatIsNoCompletionRequest(String body) throws Exception {
+        assertRefused(deployment.chat(0, KEY, body), 400, "invalid_request");
     }
 
     @Test
     void refusesAnUnknownModel() throws Exception {
         String body = new ChatPrompt("a", 1).json().put("model", "no-such").encode();
 
-        assertRefused(bench.chat(0, KEY, body), 404, "not_found");
+        assertRefused(deployment.chat(0, KEY, body), 404, "not_found");
     }
 
     @Test
     void refusesAnUnknownKeyAndAMissingOne() throws Exception {
         String body = new ChatPrompt("a", 1).body(false);
 
-        assertRefused(bench.chat(0, "no-such-key", body), 401, "invalid_key");
+        assertRefused(deployment.chat(0, "no-such-key", body), 401, "invalid_key");
         assertRefused(
-                InProcessDeployment.request(bench.gatewayPort(0), "POST", "/v1/chat/completions", Map.of(), body),
+                InProcessDeployment.request(deployment.gatewayPort(0), "POST", "/v1/chat/completions", Map.of(), body),
                 401,
                 "invalid_key");
     }
@@ -80,7 +80,7 @@
     @Test
     void refusesAClassThatTheCustomerMayNotUse() throws Exception {
         HttpResponse<String> answer = InProcessDeployment.request(
-                bench.gatewayPort(0),
+                deployment.gatewayPort(0),
                 "POST",
                 "/v1/chat/completions",
                 Map.of("Authorization", "Bearer " + InProcessConfiguration.OTHER_KEY, "X-Service-Class", "study"),
@@ -93,7 +93,7 @@
     void refusesABodyOverTheLimit() throws Exception {
         String body = new ChatPrompt("x".repeat(30_000), 1).body(false);
 
-        assertRefused(bench.chat(0, KEY, body), 413, "too_large");
+        assertRefused(deployment.chat(0, KEY, body), 413, "too_large");
     }
 
     @Test
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void refusesWhatIsNoValidRequest() throws Exception {
+    void refusesAMalformedRequestLine() throws Exception {
         assertThat(raw("this is no request\r\n\r\n"))
                 .contains(" 400 Bad Request")
                 .contains("\"not_run\":true");
@@ -141,29 +141,33 @@
         Map<String, String> headers = Map.of("Authorization", "Bearer " + KEY);
         String escaped = new ChatPrompt(KEY, 1).body(false).replace(KEY, "\\u006b" + KEY.substring(1));
 
-        assertRefused(bench.chat(0, KEY, new ChatPrompt(KEY, 1).body(false)), 400, "invalid_request");
-        assertRefused(bench.chat(0, KEY, escaped), 400, "invalid_request");
+        assertRefused(deployment.chat(0, KEY, new ChatPrompt(KEY, 1).body(false)), 400, "invalid_request");
+        assertRefused(deployment.chat(0, KEY, escaped), 400, "invalid_request");
         assertRefused(
                 InProcessDeployment.request(
-                        bench.gatewayPort(0), "GET", "/services/ledger/hauls?key=" + KEY, headers, ""),
+                        deployment.gatewayPort(0), "GET", "/services/ledger/hauls?key=" + KEY, headers, ""),
                 400,
                 "invalid_request");
         assertRefused(
                 InProcessDeployment.request(
-                        bench.gatewayPort(0), "GET", "/services/ledger/hauls?key=%6b" + KEY.substring(1), headers, ""),
+                        deployment.gatewayPort(0),
+                        "GET",
+                        "/services/ledger/hauls?key=%6b" + KEY.substring(1),
+                        headers,
+                        ""),
                 400,
                 "invalid_request");
     }
 
     @Test
-    void passesNeitherKeysNorCookiesNorHopHeadersToBackendServers() throws Exception {
+    void passesNeitherKeysNorCookiesNorHopByHopHeadersToBackendServers() throws Exception {
         Map<String, String> headers = Map.of(
                 "Authorization", "Bearer " + KEY,
                 "Cookie", "session=" + KEY,
                 "X-Forwarded-For", "10.0.0.1",
                 "Proxy-Authorization", "Basic " + KEY,
                 "X-Api-Key", KEY);
-        int port = bench.gatewayPort(0);
+        int port = deployment.gatewayPort(0);
 
         assertThat(InProcessDeployment.request(
                                 port, "POST", "/v1/chat/completions", headers, new ChatPrompt("a", 1).body(false))
@@ -173,32 +177,32 @@
                         .statusCode())
                 .isEqualTo(200);
 
-        EngineCounts engine = bench.engineCounts(bench.enginePorts().get(0));
+        EngineCounts engine = deployment.engineCounts(deployment.enginePorts().get(0));
         assertThat(engine.credentials()).containsExactly("Bearer cranberrygauge");
         assertThat(engine.headers()).doesNotContain("cookie", "x-forwarded-for", "proxy-authorization", "x-api-key");
-        var ledger = bench.ledgerCounts(bench.ledgerPorts().get(0));
+        var ledger = deployment.ledgerCounts(deployment.ledgerPorts().get(0));
         assertThat(ledger.credentials()).containsExactly("Bearer cranberrygauge");
         assertThat(ledger.headers()).doesNotContain("cookie", "x-forwarded-for", "proxy-authorization", "x-api-key");
     }
 
     @Test
-    void cancelsTheWorkOfACallerThatVanished() throws Exception {
-        int engine = bench.enginePorts().get(0);
-        long before = bench.engineCounts(engine).cancelled();
+    void cancelsTheEngineRequestWhenTheCallerDisconnects() throws Exception {
+        int engine = deployment.enginePorts().get(0);
+        long before = deployment.engineCounts(engine).cancelled();
         String body = new ChatPrompt("vanishing", 100_000).body(true);
-        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, deployment.gatewayPort(0))) {
             String head = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + KEY
                     + "\r\nContent-Length: " + body.length() + "\r\n\r\n";
             socket.getOutputStream().write((head + body).getBytes(StandardCharsets.UTF_8));
             readUntil(socket.getInputStream(), "data: ");
         }
 
-        Await.until("the engine cancels", () -> bench.engineCounts(engine).cancelled() == before + 1);
-        assertThat(bench.engineCounts(engine).running()).isZero();
+        Await.until("the engine cancels", () -> deployment.engineCounts(engine).cancelled() == before + 1);
+        assertThat(deployment.engineCounts(engine).running()).isZero();
     }
 
     @Test
-    void servesTheUsualShapeOfAStreamingClient() throws Exception {
+    void servesATypicalStreamingRequest() throws Exception {
         JsonArray parts = new JsonArray()
                 .add(new JsonObject().put("type", "text").put("text", "one "))
                 .add(new JsonObject().put("type", "text").put("text", "two"));
@@ -214,7 +218,7 @@
                         "messages",
                         new JsonArray().add(new JsonObject().put("role", "user").put("content", parts)));
 
-        HttpResponse<String> answer = bench.chat(0, KEY, body.encode());
+        HttpResponse<String> answer = deployment.chat(0, KEY, body.encode());
 
         assertThat(answer.statusCode()).isEqualTo(200);
         assertThat(answer.headers().firstValue("Content-Type")).contains("text/event-stream");
@@ -222,18 +226,19 @@
     }
 
     @Test
-    void leavesOutTheUsageOfAStreamUnlessAsked() throws Exception {
-        assertThat(bench.chat(0, KEY, new ChatPrompt("a", 2).body(true)).body()).doesNotContain("\"usage\"");
+    void omitsUsageFromAStreamUnlessRequested() throws Exception {
+        assertThat(deployment.chat(0, KEY, new ChatPrompt("a", 2).body(true)).body())
+                .doesNotContain("\"usage\"");
     }
 
     @Test
-    void gathersToolCallsAndTheReasonOfTheEndForACallerWithoutAStream() throws Exception {
+    void aggregatesToolCallsAndTheFinishReasonWithoutAStream() throws Exception {
         JsonObject calling = new ChatPrompt("a", 2).json();
         calling.getJsonObject("metadata").put("tool_call", "look_up");
         JsonObject cut = new ChatPrompt("a", 9).json().put("max_tokens", 2).putNull("stream");
 
-        String called = bench.chat(0, KEY, calling.encode()).body();
-        String cutOff = bench.chat(0, KEY, cut.encode()).body();
+        String called = deployment.chat(0, KEY, calling.encode()).body();
+        String cutOff = deployment.chat(0, KEY, cut.encode()).body();
 
         assertThat(called).contains("\"name\":\"look_up\"").contains("\"finish_reason\":\"tool_calls\"");
         assertThat(cutOff).contains("\"finish_reason\":\"length\"").contains("\"completion_tokens\":2");
@@ -244,7 +249,7 @@
         String body = "{\"model\":\"amber-large\",\"prompt\":\"a b\",\"metadata\":{\"output_tokens\":\"2\"}}";
 
         HttpResponse<String> answer = InProcessDeployment.request(
-                bench.gatewayPort(0), "POST", "/v1/completions", Map.of("Authorization", "Bearer " + KEY), body);
+                deployment.gatewayPort(0), "POST", "/v1/completions", Map.of("Authorization", "Bearer " + KEY), body);
 
         assertThat(new JsonObject(answer.body())
                         .getJsonArray("choices")
@@ -265,7 +270,7 @@
     }
 
     @Test
-    void tellsACallerThatExpectsItToContinue() throws Exception {
+    void answersExpect100Continue() throws Exception {
         String body = new ChatPrompt("a", 1).body(false);
 
         String answer = raw("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer " + KEY
@@ -277,8 +282,8 @@
 
     @Test
     void keepsServingAnIdleConnectionAfterARefusal() throws Exception {
-        assertRefused(bench.chat(0, KEY, "{"), 400, "invalid_request");
-        assertThat(bench.chat(0, KEY, new ChatPrompt("a", 1).body(false)).statusCode())
+        assertRefused(deployment.chat(0, KEY, "{"), 400, "invalid_request");
+        assertThat(deployment.chat(0, KEY, new ChatPrompt("a", 1).body(false)).statusCode())
                 .isEqualTo(200);
     }
 
@@ -289,9 +294,9 @@
         assertThat(answer.headers().firstValue("X-Request-Id")).isPresent();
     }
 
-    /** Sends bytes and reads until the other end closes. */
+    /** Sends bytes and reads until the gateway closes the connection. */
     private static String raw(String bytes) throws Exception {
-        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, deployment.gatewayPort(0))) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/ChatPrompt.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/ChatPrompt.java
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 import org.cranberrygauge.emulator.engine.TokenText;
 
-/** A chat with an answer of known text. */
+/** A chat request whose answer the emulated engine derives from the prompt. */
 record ChatPrompt(String text, int outputTokens) {
 
     String body(boolean stream) {
@@ -34,7 +34,7 @@
                 .getString("content");
     }
 
-    /** Reads a stream to its end. */
+    /** Reads a stream of server-sent events to its end. */
     static Transcript read(Stream<String> lines) {
         Transcript transcript = new Transcript(new StringBuilder(), new StringBuilder(), new StringBuilder());
         Iterator<String> iterator = lines.iterator();
@@ -58,6 +58,6 @@
         return delta.getString("content", "");
     }
 
-    /** What came over a stream. */
+    /** The content, the error and the end marker of a stream. */
     record Transcript(StringBuilder text, StringBuilder error, StringBuilder end) {}
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/EngineFailureTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/EngineFailureTest.java
@@ -18,16 +18,16 @@
 
     private static final ChatPrompt PROMPT = new ChatPrompt("a whole answer", 10);
 
-    private static InProcessDeployment bench;
+    private static InProcessDeployment deployment;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 2, 2));
+        deployment = new InProcessDeployment(InProcessDeployment.DeploymentOptions.of(1, 2, 2));
     }
 
     @AfterAll
     static void stop() throws Exception {
-        bench.close();
+        deployment.close();
     }
 
     @AfterEach
@@ -42,10 +42,10 @@
             "HANG_AFTER_TOKENS",
             "GARBAGE_AFTER_TOKENS"
         }) {
-            bench.faultOnEngines(fault, 0);
+            deployment.faultOnEngines(fault, 0);
         }
-        bench.fault(bench.ledgerPorts().get(0), "CROSSED", 0);
-        bench.fault(bench.ledgerPorts().get(0), "LATE_MILLIS", 0);
+        deployment.fault(deployment.ledgerPorts().get(0), "CROSSED", 0);
+        deployment.fault(deployment.ledgerPorts().get(0), "LATE_MILLIS", 0);
     }
 
     @ParameterizedTest
@@ -60,45 +60,46 @@
         "HANG_AFTER_TOKENS,3",
         "GARBAGE_AFTER_TOKENS,3"
     })
-    void givesTheWholeAnswerWhenOneEngineFails(String fault, double amount) throws Exception {
-        int faulty = bench.enginePorts().get(0);
-        long before = bench.engineCounts(faulty).started();
-        bench.fault(faulty, fault, amount);
+    void returnsTheCompleteAnswerWhenOneEngineFails(String fault, double amount) throws Exception {
+        int faulty = deployment.enginePorts().get(0);
+        long before = deployment.engineCounts(faulty).started();
+        deployment.fault(faulty, fault, amount);
 
         AtomicInteger tries = new AtomicInteger();
         Await.until("the faulty engine gets requests", () -> {
             ChatPrompt prompt = new ChatPrompt("whole " + fault + " " + tries.incrementAndGet(), 12);
-            HttpResponse<String> plain = bench.chat(0, KEY, prompt.body(false));
+            HttpResponse<String> plain = deployment.chat(0, KEY, prompt.body(false));
             assertThat(plain.statusCode()).as(plain.body()).isEqualTo(200);
             assertThat(ChatPrompt.contentOf(plain)).isEqualTo(prompt.wholeAnswer());
             ChatPrompt.Transcript stream =
-                    ChatPrompt.read(bench.stream(0, KEY, prompt.body(true)).body());
+                    ChatPrompt.read(deployment.stream(0, KEY, prompt.body(true)).body());
             assertThat(stream.text().toString()).isEqualTo(prompt.wholeAnswer());
             assertThat(stream.end().toString()).isEqualTo("done");
-            return bench.engineCounts(faulty).started() >= before + 2;
+            return deployment.engineCounts(faulty).started() >= before + 2;
         });
     }
 
     @Test
-    void passesOnThatAnEngineFoundFaultWithTheRequestAndDoesNotRepeatIt() throws Exception {
+    void relaysAClientErrorOfAnEngineWithoutRetrying() throws Exception {
         long before = startedOnAll();
-        bench.faultOnEngines("STATUS", 400);
+        deployment.faultOnEngines("STATUS", 400);
 
-        HttpResponse<String> answer = bench.chat(0, KEY, PROMPT.body(false));
+        HttpResponse<String> answer = deployment.chat(0, KEY, PROMPT.body(false));
 
         assertThat(answer.statusCode()).isEqualTo(400);
         assertThat(InProcessDeployment.errorOf(answer).getBoolean("not_run")).isFalse();
         assertThat(startedOnAll()).isEqualTo(before + 1);
-        bench.faultOnEngines("STATUS", 0);
-        assertThat(bench.chat(0, KEY, PROMPT.body(false)).statusCode()).isEqualTo(200);
+        deployment.faultOnEngines("STATUS", 0);
+        assertThat(deployment.chat(0, KEY, PROMPT.body(false)).statusCode()).isEqualTo(200);
     }
 
     @Test
-    void endsAStreamWithAnErrorEventWhenNoEngineCanGoOn() throws Exception {
-        bench.faultOnEngines("BREAK_AFTER_TOKENS", 1);
+    void endsAStreamWithAnErrorEventWhenNoEngineCanResumeIt() throws Exception {
+        deployment.faultOnEngines("BREAK_AFTER_TOKENS", 1);
 
-        ChatPrompt.Transcript stream = ChatPrompt.read(
-                bench.stream(0, KEY, new ChatPrompt("broken", 50).body(true)).body());
+        ChatPrompt.Transcript stream =
+                ChatPrompt.read(deployment.stream(0, KEY, new ChatPrompt("broken", 50).body(true))
+                        .body());
 
         assertThat(stream.end().toString()).isEmpty();
         assertThat(stream.error().toString())
@@ -108,14 +109,14 @@
 
     @ParameterizedTest
     @CsvSource({"CROSSED,1", "LATE_MILLIS,1500"})
-    void dropsCrossedAndLateAnswersOfServices(String fault, double amount) throws Exception {
-        int faulty = bench.ledgerPorts().get(0);
-        bench.fault(faulty, fault, amount);
+    void discardsMisdeliveredAndLateAnswersOfServices(String fault, double amount) throws Exception {
+        int faulty = deployment.ledgerPorts().get(0);
+        deployment.fault(faulty, fault, amount);
         Map<String, String> headers = Map.of("Authorization", "Bearer " + KEY, "X-Call-Id", "own-call");
 
         for (int call = 0; call < 4; call++) {
             HttpResponse<String> answer = InProcessDeployment.request(
-                    bench.gatewayPort(0), "GET", "/services/ledger/hauls/" + call, headers, "");
+                    deployment.gatewayPort(0), "GET", "/services/ledger/hauls/" + call, headers, "");
             assertThat(answer.statusCode()).as(answer.body()).isEqualTo(200);
             assertThat(answer.body()).contains("/ledger/hauls/" + call).contains("own-call");
         }
@@ -123,8 +124,8 @@
 
     private static long startedOnAll() throws Exception {
         long sum = 0;
-        for (int port : bench.enginePorts()) {
-            sum += bench.engineCounts(port).started();
+        for (int port : deployment.enginePorts()) {
+            sum += deployment.engineCounts(port).started();
         }
         return sum;
     }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/IdleConnectionTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/IdleConnectionTest.java
@@ -11,22 +11,22 @@
 
 class IdleConnectionTest {
 
-    private static InProcessDeployment bench;
+    private static InProcessDeployment deployment;
 
     @BeforeAll
     static void start() throws Exception {
-        bench = new InProcessDeployment(
-                InProcessDeployment.Size.of(1, 1, 0).withSettings("--caller-idle-timeout-millis=300"));
+        deployment = new InProcessDeployment(
+                InProcessDeployment.DeploymentOptions.of(1, 1, 0).withSettings("--caller-idle-timeout-millis=300"));
     }
 
     @AfterAll
     static void stop() throws Exception {
-        bench.close();
+        deployment.close();
     }
 
     @Test
     void closesAConnectionThatNeverCompletesAHeader() throws Exception {
-        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, deployment.gatewayPort(0))) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write("GET / HTTP/1.1\r\n".getBytes(StandardCharsets.UTF_8));
 
@@ -38,7 +38,7 @@
     void keepsAConnectionWhoseRequestTakesLonger() throws Exception {
         ChatPrompt prompt = new ChatPrompt("long", 700);
 
-        HttpResponse<String> answer = bench.chat(0, InProcessConfiguration.KEY, prompt.body(false));
+        HttpResponse<String> answer = deployment.chat(0, InProcessConfiguration.KEY, prompt.body(false));
 
         assertThat(ChatPrompt.contentOf(answer)).isEqualTo(prompt.wholeAnswer());
     }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/InProcessConfiguration.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/InProcessConfiguration.java
@@ -17,7 +17,7 @@
 import org.cranberrygauge.model.service.ServiceClass;
 import org.cranberrygauge.model.service.ServiceRoute;
 
-/** The configuration of a bench: two customers, two classes, one model, one ledger. */
+/** The configuration of an in-process deployment: two customers, two classes, one model, one ledger service. */
 final class InProcessConfiguration {
 
     static final String MODEL = "amber-large";
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/InProcessDeployment.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/InProcessDeployment.java
@@ -42,7 +42,7 @@
 import org.cranberrygauge.runtime.platform.HttpPlatform;
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
-/** Gateways in this process against stand-ins in this process, over real sockets, each on any free port. */
+/** Gateways and emulated backend servers in this process, connected by sockets on free ports. */
 final class InProcessDeployment implements AutoCloseable {
 
     static final String HOST = "127.0.0.1";
@@ -72,37 +72,37 @@
 
     private long sequence;
 
-    InProcessDeployment(Size size) throws Exception {
+    InProcessDeployment(DeploymentOptions options) throws Exception {
         platform =
                 get(new EmulatedPlatform(vertx, new EmulatedPlatform.Options(600_000, true, 10, 50, 10)).listen(ANY));
         log = new HttpPlatform(vertx, address(platform), 5_000);
-        for (int index = 0; index < size.engines(); index++) {
+        for (int index = 0; index < options.engines(); index++) {
             EngineSpeed speed = new EngineSpeed(8, 2, 0, 1_000_000);
             engines.add(get(new EmulatedEngine(
                             vertx, Set.of(InProcessConfiguration.MODEL), speed, 1_000, true, CrashAction.Close.INSTANCE)
                     .listen(ANY)));
         }
-        for (int index = 0; index < size.ledgers(); index++) {
+        for (int index = 0; index < options.ledgers(); index++) {
             ledgers.add(get(new EmulatedService(vertx, 1).listen(ANY)));
         }
-        configuration = InProcessConfiguration.of(ports(engines), ports(ledgers), size.longestWaitMillis());
-        if (size.logDown()) {
+        configuration = InProcessConfiguration.of(ports(engines), ports(ledgers), options.longestWaitMillis());
+        if (options.logDown()) {
             fault(platformPort(), "LOG_OUTAGE", 1);
         }
-        for (int index = 0; index < size.gateways(); index++) {
-            gateways.add(startGateway(index, size));
+        for (int index = 0; index < options.gateways(); index++) {
+            gateways.add(startGateway(index, options));
         }
         for (Gateway one : gateways) {
             gateways.stream()
                     .filter(other -> other != one)
                     .forEach(other -> one.addPeer(new NetworkAddress(HOST, other.exchangePort())));
         }
-        if (!size.logDown()) {
+        if (!options.logDown()) {
             apply(configuration);
         }
     }
 
-    private Gateway startGateway(int index, Size size) throws Exception {
+    private Gateway startGateway(int index, DeploymentOptions options) throws Exception {
         GatewaySettings settings = new GatewaySettings();
         List<String> arguments = new ArrayList<>(List.of(
                 "--host-name=host-" + index,
@@ -112,15 +112,16 @@
                 "--operations-address=" + ANY,
                 "--exchange-address=" + ANY,
                 "--backend-timeout-millis=1000"));
-        arguments.addAll(size.settings());
+        arguments.addAll(options.settings());
         new SettingsParser("bench", Map.of())
                 .parse(
                         settings,
                         arguments.stream()
                                 .flatMap(argument -> Stream.of(argument.split("=", 2)))
                                 .toArray(String[]::new));
-        Quarantine quarantine =
-                size.quarantine() ? new Quarantine.Default(QuarantineLimits.standard()) : Quarantine.Disabled.INSTANCE;
+        Quarantine quarantine = options.quarantine()
+                ? new Quarantine.Default(QuarantineLimits.standard())
+                : Quarantine.Disabled.INSTANCE;
         Gateway gateway = new Gateway(settings, EventLog.NoOp.INSTANCE, quarantine);
         get(gateway.start());
         return gateway;
@@ -130,7 +131,7 @@
         return configuration;
     }
 
-    /** Appends a configuration and waits until every gateway has it. */
+    /** Appends a configuration and waits until it is in force at every gateway. */
     void apply(Configuration next) throws Exception {
         assertThat(ConfigurationValidator.problems(next)).isEmpty();
         append(next);
@@ -187,14 +188,14 @@
         return ports(ledgers);
     }
 
-    /** Returns the number of engines that still take connections. */
-    long enginesUp() {
+    /** Returns the number of engines that accept connections. */
+    long reachableEngines() {
         return enginePorts().stream()
-                .filter(InProcessDeployment::takesConnections)
+                .filter(InProcessDeployment::acceptsConnections)
                 .count();
     }
 
-    private static boolean takesConnections(int port) {
+    private static boolean acceptsConnections(int port) {
         try (Socket socket = new Socket(HOST, port)) {
             return socket.isConnected();
         } catch (IOException exception) {
@@ -206,7 +207,7 @@
         HttpResponse<String> answer =
                 request(port, "POST", "/faults", Map.of(), JsonCodec.write(new FaultSwitch(name, amount)));
         if (answer.statusCode() != 200) {
-            throw new IllegalStateException("no fault " + name + ": " + answer.body());
+            throw new IllegalStateException("emulator rejected the fault " + name + ": " + answer.body());
         }
     }
 
@@ -288,8 +289,8 @@
         return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** What a bench consists of. */
-    record Size(
+    /** The size and the settings of a deployment. */
+    record DeploymentOptions(
             int gateways,
             int engines,
             int ledgers,
@@ -298,24 +299,25 @@
             long longestWaitMillis,
             List<String> settings) {
 
-        static Size of(int gateways, int engines, int ledgers) {
-            return new Size(gateways, engines, ledgers, true, false, 10_000, List.of());
+        static DeploymentOptions of(int gateways, int engines, int ledgers) {
+            return new DeploymentOptions(gateways, engines, ledgers, true, false, 10_000, List.of());
         }
 
-        Size withoutQuarantine() {
-            return new Size(gateways, engines, ledgers, false, logDown, longestWaitMillis, settings);
+        DeploymentOptions withoutQuarantine() {
+            return new DeploymentOptions(gateways, engines, ledgers, false, logDown, longestWaitMillis, settings);
         }
 
-        Size withLogDown() {
-            return new Size(gateways, engines, ledgers, quarantine, true, longestWaitMillis, settings);
+        DeploymentOptions withLogDown() {
+            return new DeploymentOptions(gateways, engines, ledgers, quarantine, true, longestWaitMillis, settings);
         }
 
-        Size withLongestWait(long millis) {
-            return new Size(gateways, engines, ledgers, quarantine, logDown, millis, settings);
+        DeploymentOptions withLongestWait(long millis) {
+            return new DeploymentOptions(gateways, engines, ledgers, quarantine, logDown, millis, settings);
         }
 
-        Size withSettings(String... replacement) {
-            return new Size(gateways, engines, ledgers, quarantine, logDown, longestWaitMillis, List.of(replacement));
+        DeploymentOptions withSettings(String... replacement) {
+            return new DeploymentOptions(
+                    gateways, engines, ledgers, quarantine, logDown, longestWaitMillis, List.of(replacement));
         }
     }
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/KeyWithdrawalTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/KeyWithdrawalTest.java
@@ -22,25 +22,25 @@
 
     private static final String SPARE_KEY = InProcessConfiguration.SPARE_KEY;
 
-    private InProcessDeployment bench;
+    private InProcessDeployment deployment;
 
     @BeforeEach
     void start() throws Exception {
-        bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 1, 1));
+        deployment = new InProcessDeployment(InProcessDeployment.DeploymentOptions.of(1, 1, 1));
     }
 
     @AfterEach
     void stop() throws Exception {
-        bench.close();
+        deployment.close();
     }
 
     @Test
-    void endsAnOpenStreamAndItsWorkAtTheEngine() throws Exception {
-        HttpResponse<Stream<String>> open = bench.stream(0, SPARE_KEY, new ChatPrompt("long", 100_000).body(true));
+    void endsAnOpenStreamAndCancelsItAtTheEngine() throws Exception {
+        HttpResponse<Stream<String>> open = deployment.stream(0, SPARE_KEY, new ChatPrompt("long", 100_000).body(true));
         Iterator<String> lines = open.body().iterator();
         assertThat(lines.next()).startsWith("data: ");
 
-        bench.withdrawKey(CUSTOMER, SPARE_KEY);
+        deployment.withdrawKey(CUSTOMER, SPARE_KEY);
 
         StringBuilder rest = new StringBuilder();
         lines.forEachRemaining(line -> rest.append(line).append('\n'));
@@ -49,37 +49,38 @@
                 .contains("\"code\":\"key_withdrawn\"")
                 .contains("\"not_run\":false")
                 .doesNotContain("[DONE]");
-        int engine = bench.enginePorts().get(0);
-        Await.until("the engine cancels", () -> bench.engineCounts(engine).cancelled() == 1);
-        assertThat(bench.engineCounts(engine).running()).isZero();
+        int engine = deployment.enginePorts().get(0);
+        Await.until("the engine cancels", () -> deployment.engineCounts(engine).cancelled() == 1);
+        assertThat(deployment.engineCounts(engine).running()).isZero();
     }
 
     @Test
     void refusesANewRequestAndOneOnAnIdleConnection() throws Exception {
-        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
+        try (Socket socket = new Socket(InProcessDeployment.HOST, deployment.gatewayPort(0))) {
             BufferedReader answers =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             assertThat(listModels(socket, answers)).contains(" 200 ");
 
-            bench.withdrawKey(CUSTOMER, SPARE_KEY);
+            deployment.withdrawKey(CUSTOMER, SPARE_KEY);
 
             assertThat(listModels(socket, answers)).contains(" 401 ");
         }
-        HttpResponse<String> refused = bench.chat(0, SPARE_KEY, new ChatPrompt("a", 1).body(false));
+        HttpResponse<String> refused = deployment.chat(0, SPARE_KEY, new ChatPrompt("a", 1).body(false));
         assertThat(refused.statusCode()).isEqualTo(401);
         assertThat(InProcessDeployment.errorOf(refused).getBoolean("not_run")).isTrue();
-        assertThat(bench.chat(0, InProcessConfiguration.KEY, new ChatPrompt("a", 1).body(false))
+        assertThat(deployment
+                        .chat(0, InProcessConfiguration.KEY, new ChatPrompt("a", 1).body(false))
                         .statusCode())
                 .isEqualTo(200);
     }
 
     @Test
     void recordsTheOutcomeOfABookingThatWasInFlight() throws Exception {
-        bench.fault(bench.ledgerPorts().get(0), "LATE_MILLIS", 500);
+        deployment.fault(deployment.ledgerPorts().get(0), "LATE_MILLIS", 500);
         CompletableFuture<HttpResponse<String>> inFlight = CompletableFuture.supplyAsync(() -> book(SPARE_KEY));
-        Await.until("the ledger has the booking", () -> bench.executions("run-1") == 1);
+        Await.until("the ledger has the booking", () -> deployment.executions("run-1") == 1);
 
-        bench.withdrawKey(CUSTOMER, SPARE_KEY);
+        deployment.withdrawKey(CUSTOMER, SPARE_KEY);
 
         HttpResponse<String> answer = inFlight.get();
         assertThat(answer.statusCode()).isEqualTo(401);
@@ -89,13 +90,13 @@
     }
 
     @Test
-    void recordsTheOutcomeOfABookingWhoseCallerVanished() throws Exception {
-        bench.fault(bench.ledgerPorts().get(0), "LATE_MILLIS", 500);
-        try (Socket socket = new Socket(InProcessDeployment.HOST, bench.gatewayPort(0))) {
+    void recordsTheOutcomeOfABookingWhoseCallerDisconnected() throws Exception {
+        deployment.fault(deployment.ledgerPorts().get(0), "LATE_MILLIS", 500);
+        try (Socket socket = new Socket(InProcessDeployment.HOST, deployment.gatewayPort(0))) {
             String request = "POST /services/ledger/bookings HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + SPARE_KEY
                     + "\r\nIdempotency-Key: run-1\r\nX-Call-Id: run-1\r\nContent-Length: 2\r\n\r\n{}";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-            Await.until("the ledger has the booking", () -> bench.executions("run-1") == 1);
+            Await.until("the ledger has the booking", () -> deployment.executions("run-1") == 1);
         }
         assertOutcomeIsKnown();
     }
@@ -105,7 +106,7 @@
                 "the outcome is recorded",
                 () -> book(InProcessConfiguration.KEY).statusCode() == 200);
         assertThat(book(InProcessConfiguration.KEY).body()).contains("\"executions\":1");
-        assertThat(bench.executions("run-1")).isEqualTo(1);
+        assertThat(deployment.executions("run-1")).isEqualTo(1);
     }
 
     private HttpResponse<String> book(String key) {
@@ -113,13 +114,13 @@
                 Map.of("Authorization", "Bearer " + key, "Idempotency-Key", "run-1", "X-Call-Id", "run-1");
         try {
             return InProcessDeployment.request(
-                    bench.gatewayPort(0), "POST", "/services/ledger/bookings", headers, "{}");
+                    deployment.gatewayPort(0), "POST", "/services/ledger/bookings", headers, "{}");
         } catch (Exception exception) {
             throw new IllegalStateException(exception);
         }
     }
 
-    /** Asks for the models and returns the status line. */
+    /** Requests the list of models and returns the status line. */
     private static String listModels(Socket socket, BufferedReader answers) throws Exception {
         String request = "GET /v1/models HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + SPARE_KEY + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PlatformClientTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PlatformClientTest.java
@@ -17,20 +17,21 @@
     private static final int CALLS = 1_000;
 
     @Test
-    void completesEachCallThatIsMadeFromAnotherThread() throws Exception {
+    void completesConcurrentCallsFromOtherThreads() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(THREADS);
-        try (InProcessDeployment bench = new InProcessDeployment(InProcessDeployment.Size.of(1, 1, 0))) {
-            List<Future<Integer>> made = new ArrayList<>();
+        try (InProcessDeployment deployment =
+                new InProcessDeployment(InProcessDeployment.DeploymentOptions.of(1, 1, 0))) {
+            List<Future<Integer>> results = new ArrayList<>();
             for (int thread = 0; thread < THREADS; thread++) {
-                made.add(threads.submit(() -> {
+                results.add(threads.submit(() -> {
                     for (int call = 0; call < CALLS; call++) {
-                        bench.appendRaw("no entry");
+                        deployment.appendRaw("no entry");
                     }
                     return CALLS;
                 }));
             }
-            for (Future<Integer> calls : made) {
-                assertThat(calls.get(60, TimeUnit.SECONDS)).isEqualTo(CALLS);
+            for (Future<Integer> result : results) {
+                assertThat(result.get(60, TimeUnit.SECONDS)).isEqualTo(CALLS);
             }
         } finally {
             threads.shutdownNow();
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PoisonRequestTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/path/PoisonRequestTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import org.junit.jupiter.api.Test;
 
-/** A request that crashes each engine that runs it, sent again by its caller through one gateway after another. */
+/** A request crashes every engine that runs it and is retried by its caller through one gateway after another. */
 class PoisonRequestTest {
 
     private static final ChatPrompt POISON = new ChatPrompt("CRASH-THE-ENGINE", 5);
@@ -19,7 +19,7 @@
 
     @Test
     void losesAtMostThreeEnginesToOnePoisonRequestAndRefusesNoOther() throws Exception {
-        Losses losses = measure(InProcessDeployment.Size.of(4, 6, 0), 12, SENDS);
+        Losses losses = measure(InProcessDeployment.DeploymentOptions.of(4, 6, 0), 12, SENDS);
 
         System.out.println("poison request, six engines, with quarantine: " + losses);
         assertThat(losses.enginesLost()).isBetween(2, 3);
@@ -30,7 +30,11 @@
     @Test
     void losesEveryEngineWithoutQuarantine() throws Exception {
         Losses losses = measure(
-                InProcessDeployment.Size.of(4, 6, 0).withLongestWait(2_000).withoutQuarantine(), 12, SENDS);
+                InProcessDeployment.DeploymentOptions.of(4, 6, 0)
+                        .withLongestWait(2_000)
+                        .withoutQuarantine(),
+                12,
+                SENDS);
 
         System.out.println("poison request, six engines, without quarantine: " + losses);
         assertThat(losses.enginesLost()).isEqualTo(6);
@@ -39,7 +43,8 @@
 
     @Test
     void neverLosesTheLastEngine() throws Exception {
-        Losses losses = measure(InProcessDeployment.Size.of(2, 2, 0).withLongestWait(1_000), 6, 4);
+        Losses losses =
+                measure(InProcessDeployment.DeploymentOptions.of(2, 2, 0).withLongestWait(1_000), 6, 4);
 
         System.out.println("poison request, two engines, with quarantine: " + losses);
         assertThat(losses.enginesLost()).isEqualTo(1);
@@ -49,27 +54,32 @@
     @Test
     void losesTheLastEngineWithoutQuarantine() throws Exception {
         Losses losses = measure(
-                InProcessDeployment.Size.of(2, 2, 0).withLongestWait(1_000).withoutQuarantine(), 6, 4);
+                InProcessDeployment.DeploymentOptions.of(2, 2, 0)
+                        .withLongestWait(1_000)
+                        .withoutQuarantine(),
+                6,
+                4);
 
         System.out.println("poison request, two engines, without quarantine: " + losses);
         assertThat(losses.enginesLost()).isEqualTo(2);
         assertThat(losses.refusedOthers()).hasSize(6);
     }
 
-    private static Losses measure(InProcessDeployment.Size size, int others, int sends) throws Exception {
+    private static Losses measure(InProcessDeployment.DeploymentOptions options, int others, int sends)
+            throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(others);
-        try (InProcessDeployment bench = new InProcessDeployment(size)) {
+        try (InProcessDeployment deployment = new InProcessDeployment(options)) {
             List<CompletableFuture<String>> running = new ArrayList<>();
             for (int number = 0; number < others; number++) {
                 ChatPrompt prompt = new ChatPrompt("other " + number, 600);
-                int gateway = number % size.gateways();
-                running.add(CompletableFuture.supplyAsync(() -> outcome(bench, gateway, prompt), threads));
+                int gateway = number % options.gateways();
+                running.add(CompletableFuture.supplyAsync(() -> outcome(deployment, gateway, prompt), threads));
             }
-            Await.until("the others run", () -> running(bench) == others);
+            Await.until("the others run", () -> running(deployment) == others);
             int quarantined = 0;
             for (int send = 0; send < sends; send++) {
-                HttpResponse<String> answer =
-                        bench.chat(send % size.gateways(), InProcessConfiguration.OTHER_KEY, POISON.body(false));
+                HttpResponse<String> answer = deployment.chat(
+                        send % options.gateways(), InProcessConfiguration.OTHER_KEY, POISON.body(false));
                 quarantined += answer.statusCode() == 422 ? 1 : 0;
             }
             List<String> refused = new ArrayList<>();
@@ -77,23 +87,23 @@
                 refused.add(other.get());
             }
             refused.removeIf("whole"::equals);
-            return new Losses((int) (size.engines() - bench.enginesUp()), refused, quarantined);
+            return new Losses((int) (options.engines() - deployment.reachableEngines()), refused, quarantined);
         } finally {
             threads.shutdownNow();
         }
     }
 
-    private static int running(InProcessDeployment bench) throws Exception {
+    private static int running(InProcessDeployment deployment) throws Exception {
         int sum = 0;
-        for (int port : bench.enginePorts()) {
-            sum += bench.engineCounts(port).running();
+        for (int port : deployment.enginePorts()) {
+            sum += deployment.engineCounts(port).running();
         }
         return sum;
     }
 
-    private static String outcome(InProcessDeployment bench, int gateway, ChatPrompt prompt) {
+    private static String outcome(InProcessDeployment deployment, int gateway, ChatPrompt prompt) {
         try {
-            HttpResponse<String> answer = bench.chat(gateway, InProcessConfiguration.KEY, prompt.body(false));
+            HttpResponse<String> answer = deployment.chat(gateway, InProcessConfiguration.KEY, prompt.body(false));
             if (answer.statusCode() != 200) {
                 return InProcessDeployment.errorOf(answer).getString("code");
             }
