--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/AtMostOnceProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/AtMostOnceProcessTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void a_booking_that_could_not_be_reserved_in_a_log_outage_is_refused_as_not_run_and_was_not() {
+    void a_booking_that_can_not_be_reserved_in_a_log_outage_is_refused_as_not_run_and_does_not_run() {
         deployment.platformFault("log_outage", 1);
         HttpResponse<String> refused = book(0);
         assertThat(refused.statusCode()).isEqualTo(503);
@@ -53,7 +53,7 @@
 
     @Test
     void a_booking_that_was_sent_before_a_log_outage_is_answered_and_not_run_again() {
-        CompletableFuture<HttpResponse<String>> answer = sent();
+        CompletableFuture<HttpResponse<String>> answer = sendBooking();
         deployment.platformFault("log_outage", 1);
         assertThat(answer.join().statusCode()).isEqualTo(200);
         assertThat(book(1).statusCode()).isNotEqualTo(200);
@@ -76,7 +76,7 @@
 
     @Test
     void a_booking_whose_gateway_is_killed_is_not_run_again_by_another() {
-        CompletableFuture<HttpResponse<String>> answer = sent();
+        CompletableFuture<HttpResponse<String>> answer = sendBooking();
         gateways.get(0).program().kill();
         assertThat(answer).failsWithin(java.time.Duration.ofSeconds(20));
         deployment.replaceGateway(0);
@@ -87,8 +87,8 @@
     }
 
     @Test
-    void a_booking_whose_gateway_is_frozen_and_thawed_runs_once() {
-        CompletableFuture<HttpResponse<String>> answer = sent();
+    void a_booking_whose_gateway_is_paused_and_resumed_runs_once() {
+        CompletableFuture<HttpResponse<String>> answer = sendBooking();
         gateways.get(0).program().signal("STOP");
         book(1);
         gateways.get(0).program().signal("CONT");
@@ -100,7 +100,7 @@
         assertThat(executions()).isEqualTo(1);
     }
 
-    private CompletableFuture<HttpResponse<String>> sent() {
+    private CompletableFuture<HttpResponse<String>> sendBooking() {
         CompletableFuture<HttpResponse<String>> answer =
                 TestHttpClient.send(Deployment.booking(gateways.get(0).port(), CALL));
         Await.until("the ledger ran the booking", () -> executions() == 1);
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Await.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Await.java
@@ -5,10 +5,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Waits on conditions, each with a deadline. */
+/** Polls conditions until they hold or a timeout expires. */
 final class Await {
 
-    private static final long DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(40);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
     private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
     private Await() {}
@@ -18,11 +18,11 @@
     }
 
     static <T> T value(String what, Supplier<T> supplier) {
-        long untilNanos = System.nanoTime() + DEADLINE_NANOS;
+        long untilNanos = System.nanoTime() + TIMEOUT_NANOS;
         T value = supplier.get();
         while (value == null) {
             if (System.nanoTime() - untilNanos > 0) {
-                throw new AssertionError("not in time: " + what);
+                throw new AssertionError("timed out waiting for: " + what);
             }
             LockSupport.parkNanos(POLL_NANOS);
             value = supplier.get();
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/CleaningProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/CleaningProcessTest.java
@@ -27,7 +27,7 @@
     Path directory;
 
     @Test
-    void a_cleaning_empties_one_server_after_the_other_cuts_no_stream_and_gives_drained_servers_no_new_work() {
+    void cleaning_drains_one_backend_server_at_a_time_and_interrupts_no_stream() {
         try (Deployment deployment = new Deployment(directory)) {
             List<Node> engines =
                     List.of(deployment.engine("engine-1", "dk-east-a"), deployment.engine("engine-2", "dk-east-a"));
@@ -49,15 +49,15 @@
                 round++;
                 assertThat(round).as("chats until both servers were cleaned").isLessThan(500);
             }
-            answers.forEach(answer -> assertThat(answer.join()).matches(Deployment::isWhole));
-            assertThat(mostDrainedAtOnce(deployment.log())).isEqualTo(1);
+            answers.forEach(answer -> assertThat(answer.join()).matches(Deployment::isComplete));
+            assertThat(maximumConcurrentDrains(deployment.log())).isEqualTo(1);
             engines.forEach(engine ->
                     assertThat(Deployment.engineCounts(engine).cancelled()).isZero());
         }
     }
 
     @Test
-    void a_drained_server_gets_no_new_work_after_a_second() {
+    void a_drained_backend_server_gets_no_new_requests_after_a_second() {
         try (Deployment deployment = new Deployment(directory)) {
             Node drained = deployment.engine("engine-1", "dk-east-a");
             deployment.engine("engine-2", "dk-east-a");
@@ -76,7 +76,7 @@
             for (int call = 0; call < 20; call++) {
                 assertThat(TestHttpClient.join(
                                 Deployment.chat(gateways.get(call % 2).port(), 3)))
-                        .matches(Deployment::isWhole);
+                        .matches(Deployment::isComplete);
             }
             assertThat(calls(drained)).isEqualTo(before);
         }
@@ -88,7 +88,7 @@
                 .sum();
     }
 
-    private static int mostDrainedAtOnce(List<LogRecord> records) {
+    private static int maximumConcurrentDrains(List<LogRecord> records) {
         Set<String> drains = new HashSet<>();
         int most = 0;
         for (LogRecord record : records) {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Deployment.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Deployment.java
@@ -48,7 +48,7 @@
 import org.cranberrygauge.runtime.platform.HttpPlatform;
 import org.cranberrygauge.runtime.time.TimeSource;
 
-/** A small deployment on loopback, each program a process of its own. */
+/** A small deployment on loopback in which each program runs as a separate process. */
 final class Deployment implements AutoCloseable {
 
     static final String KEY = "key-of-odense-heritage";
@@ -64,28 +64,28 @@
 
     Deployment(Path directory, String... platformOptions) {
         this.directory = directory;
-        platformPort = standIn("platform", platformOptions).port();
+        platformPort = emulator("platform", platformOptions).port();
     }
 
-    /** A program that takes requests on a port. */
+    /** A running program and the ports on which it accepts requests. */
     record Node(Program program, int port, int operationsPort) {}
 
-    Node standIn(String kind, String... options) {
+    Node emulator(String kind, String... options) {
         List<String> arguments = new ArrayList<>(List.of(kind));
         arguments.addAll(List.of(options));
         Program program = start(kind, EmulatorMain.class, arguments);
-        int port = program.awaitNumber("listening", "port");
+        int port = program.awaitEventNumber("listening", "port");
         return new Node(program, port, port);
     }
 
     Node engine(String name, String dataCentre) {
-        Node node = standIn("engine", "--models", "amber-large");
+        Node node = emulator("engine", "--models", "amber-large");
         add(name, node, dataCentre, BackendKind.MODEL, "amber-large", 8);
         return node;
     }
 
     Node spareEngine(String name) {
-        return standIn(
+        return emulator(
                 "engine",
                 "--models",
                 "amber-large",
@@ -100,7 +100,7 @@
     }
 
     Node ledger(long callMillis) {
-        Node node = standIn("service", "--call-millis", String.valueOf(callMillis));
+        Node node = emulator("service", "--call-millis", String.valueOf(callMillis));
         add("ledger", node, "dk-east-a", BackendKind.SERVICE, "ledger", 64);
         return node;
     }
@@ -117,7 +117,7 @@
                 true));
     }
 
-    /** Starts gateways that know each other. */
+    /** Starts gateways that are each other's peers. */
     List<Node> gateways(int count) {
         for (int index = 0; index < count; index++) {
             exchangePorts.add(freePort());
@@ -129,7 +129,7 @@
         return started.stream().map(Deployment::gatewayNode).toList();
     }
 
-    /** Starts a new gateway on the host of a former one. */
+    /** Starts a new gateway under the host name of a previous one. */
     Node replaceGateway(int index) {
         return gatewayNode(startGateway(index, freePort()));
     }
@@ -159,8 +159,8 @@
     private static Node gatewayNode(Program program) {
         return new Node(
                 program,
-                program.awaitNumber("gateway_listening", "caller_port"),
-                program.awaitNumber("gateway_listening", "operations_port"));
+                program.awaitEventNumber("gateway_listening", "caller_port"),
+                program.awaitEventNumber("gateway_listening", "operations_port"));
     }
 
     Node controller(String host, String... options) {
@@ -175,7 +175,7 @@
                 "127.0.0.1:0"));
         arguments.addAll(List.of(options));
         Program program = start("controller-" + host, ControllerMain.class, arguments);
-        int port = program.awaitNumber("controller_listening", "operations_port");
+        int port = program.awaitEventNumber("controller_listening", "operations_port");
         return new Node(program, port, port);
     }
 
@@ -216,7 +216,7 @@
         return apply(operator, -1, configuration);
     }
 
-    /** Applies a change as the operators' command does; a negative base is the version in force. */
+    /** Applies a change as the operator's command does; a negative base version stands for the version in force. */
     ExitStatus apply(String operator, long base, Configuration configuration) {
         try {
             LogSession session =
@@ -250,7 +250,7 @@
         return Arrays.asList(TestHttpClient.get(platformPort, "/usage", UsageReport[].class));
     }
 
-    /** Reads all records of the log, in their order. */
+    /** Reads all records of the log in order. */
     List<LogRecord> log() {
         List<LogRecord> records = new ArrayList<>();
         PlatformLog.Page page =
@@ -288,7 +288,7 @@
                 .POST(HttpRequest.BodyPublishers.ofString("{\"fountain\":\"stork\"}"));
     }
 
-    static boolean isWhole(HttpResponse<String> answer) {
+    static boolean isComplete(HttpResponse<String> answer) {
         return answer.statusCode() == 200
                 && answer.body().contains("[DONE]")
                 && !answer.body().contains("\"error\"");
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/GatewayProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/GatewayProcessTest.java
@@ -26,7 +26,7 @@
     Path directory;
 
     @Test
-    void an_engine_killed_in_mid_stream_leaves_the_caller_a_whole_answer() {
+    void an_engine_killed_mid_stream_does_not_change_the_answer() {
         try (Deployment deployment = new Deployment(directory)) {
             List<Node> engines = List.of(
                     deployment.engine("engine-1", "dk-east-a"),
@@ -44,16 +44,16 @@
                             .findFirst()
                             .orElse(null));
             busy.program().kill();
-            HttpResponse<String> whole = answer.join();
-            assertThat(whole.body()).contains("[DONE]").doesNotContain("\"error\"");
-            HttpResponse<String> unbroken =
+            HttpResponse<String> resumed = answer.join();
+            assertThat(resumed.body()).contains("[DONE]").doesNotContain("\"error\"");
+            HttpResponse<String> uninterrupted =
                     TestHttpClient.join(Deployment.chat(gateways.get(0).port(), 200));
-            assertThat(contents(whole)).isEqualTo(contents(unbroken)).hasSizeGreaterThan(100);
+            assertThat(contents(resumed)).isEqualTo(contents(uninterrupted)).hasSizeGreaterThan(100);
         }
     }
 
     @Test
-    void a_gateway_that_is_told_to_stop_ends_its_stream_whole_leaves_and_exits_with_0() {
+    void a_gateway_that_receives_sigterm_completes_its_stream_leaves_and_exits_with_0() {
         try (Deployment deployment = new Deployment(directory)) {
             Node engine = deployment.engine("engine-1", "dk-east-a");
             List<Node> gateways = deployment.gateways(2);
@@ -65,8 +65,8 @@
             Await.until(
                     "the gateway is not ready",
                     () -> TestHttpClient.status(gateways.get(0).operationsPort(), "/health/ready") != 200);
-            Measurements.note("not_ready_after_sigterm_millis", Measurements.since(startNanos));
-            assertThat(answer.join()).matches(Deployment::isWhole);
+            Measurements.append("not_ready_after_sigterm_millis", Measurements.since(startNanos));
+            assertThat(answer.join()).matches(Deployment::isComplete);
             assertThat(gateways.get(0).program().awaitExit()).isZero();
             assertThat(deployment.log(GatewayLeft.class)).hasSize(1);
             assertThat(Deployment.engineCounts(engine).cancelled()).isZero();
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void of_two_operators_who_change_the_same_version_one_is_told_of_a_conflict() {
+    void of_two_operators_that_change_the_same_version_one_gets_a_conflict() {
         try (Deployment deployment = new Deployment(directory)) {
             deployment.engine("engine-1", "dk-east-a");
             List<Node> gateways = deployment.gateways(1);
@@ -111,10 +111,10 @@
                 idle.add(Measurements.since(startNanos));
             }
             Await.until("the stream ends", stream::isDone);
-            Measurements.note("withdrawn_key_open_stream_millis", Measurements.since(startNanos));
-            Measurements.note("withdrawn_key_idle_connections_of_four_gateways_millis", idle.get(3));
+            Measurements.append("withdrawn_key_open_stream_millis", Measurements.since(startNanos));
+            Measurements.append("withdrawn_key_idle_connections_of_four_gateways_millis", idle.get(3));
             assertThat(accepted.join()).isEqualTo(ExitStatus.DONE);
-            Measurements.note("change_accepted_on_four_gateways_millis", Measurements.since(startNanos));
+            Measurements.append("change_accepted_on_four_gateways_millis", Measurements.since(startNanos));
             assertThat(ended(stream)).doesNotContain("[DONE]");
             Await.until(
                     "the engine cancels", () -> Deployment.engineCounts(engine).cancelled() == 1);
@@ -136,14 +136,14 @@
                 CompletableFuture<ExitStatus> accepted =
                         CompletableFuture.supplyAsync(() -> deployment.apply("ole", deployment.configuration()));
                 gateways.forEach(gateway -> Await.until("the change is in force", () -> version(gateway) > last));
-                Measurements.note("change_in_force_on_four_gateways_millis", Measurements.since(startNanos));
+                Measurements.append("change_in_force_on_four_gateways_millis", Measurements.since(startNanos));
                 assertThat(accepted.join()).isEqualTo(ExitStatus.DONE);
                 before = version(gateways.get(0));
             }
             deployment.platformFault("log_outage", 1);
             deployment.platformFault("platform_outage", 1);
             gateways.forEach(gateway -> assertThat(TestHttpClient.join(Deployment.chat(gateway.port(), 5)))
-                    .matches(Deployment::isWhole));
+                    .matches(Deployment::isComplete));
         }
     }
 
@@ -174,7 +174,7 @@
                 .configuration_version();
     }
 
-    /** Returns the tokens of a stream without what differs from request to request. */
+    /** Returns the tokens of a stream without identifiers, which differ from request to request. */
     private static List<String> contents(HttpResponse<String> answer) {
         return java.util.regex.Pattern.compile("\"content\":\"([^\"]*)\"")
                 .matcher(answer.body())
@@ -183,7 +183,7 @@
                 .toList();
     }
 
-    /** What a gateway tells of itself. */
+    /** The state that a gateway reports. */
     @com.fasterxml.jackson.annotation.JsonIgnoreProperties(ignoreUnknown = true)
     record GatewayState(String gateway, long configuration_version) {}
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/LeaseProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/LeaseProcessTest.java
@@ -25,8 +25,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void a_holder_frozen_with_an_order_ready_and_thawed_while_its_successor_acts_never_has_the_last_word(
-            boolean checksFencing) {
+    void a_lease_holder_paused_before_its_order_never_overwrites_the_order_of_its_successor(boolean checksFencing) {
         try (Deployment deployment = new Deployment(
                 directory, "--checks-fencing", String.valueOf(checksFencing), "--list-lag-millis", "50")) {
             startSpares(deployment);
@@ -44,7 +43,9 @@
             deployment.apply("ole", deployment.withPool(3));
             controllers.get(former).program().signal("CONT");
             Await.until("three servers", () -> lastOrder(deployment).desiredCount() == 3);
-            Await.until("the former holder reads on", () -> reads(controllers.get(former), deployment));
+            Await.until(
+                    "the former holder catches up with the log",
+                    () -> hasCaughtUp(controllers.get(former), deployment));
             assertThat(successor).isNotEqualTo(former);
             assertThat(lastOrder(deployment).desiredCount()).isEqualTo(3);
             assertThat(deployment.orders())
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void a_killed_holder_and_one_that_is_stopped_as_planned_are_succeeded_and_no_window_has_two_figures() {
+    void a_killed_and_a_stopped_lease_holder_are_replaced_and_no_usage_window_is_reported_with_different_figures() {
         try (Deployment deployment = new Deployment(directory, "--list-lag-millis", "50")) {
             startSpares(deployment);
             Map<String, Node> controllers = startControllers(deployment);
@@ -64,15 +65,15 @@
             long startNanos = System.nanoTime();
             controllers.get(first).program().kill();
             String second = Await.value("a second holder", () -> holder(controllers, first));
-            Measurements.note("new_holder_after_sigkill_lease_1500_millis", Measurements.since(startNanos));
+            Measurements.append("new_holder_after_sigkill_lease_1500_millis", Measurements.since(startNanos));
             startNanos = System.nanoTime();
             controllers.get(second).program().signal("TERM");
-            Map<String, Node> left = controllers.entrySet().stream()
+            Map<String, Node> remaining = controllers.entrySet().stream()
                     .filter(entry ->
                             !entry.getKey().equals(first) && !entry.getKey().equals(second))
                     .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
-            Await.value("a third holder", () -> holder(left, second));
-            Measurements.note("new_holder_after_sigterm_lease_1500_millis", Measurements.since(startNanos));
+            Await.value("a third holder", () -> holder(remaining, second));
+            Measurements.append("new_holder_after_sigterm_lease_1500_millis", Measurements.since(startNanos));
             assertThat(controllers.get(second).program().awaitExit()).isZero();
             assertThat(deployment.log(LeaseClaim.class))
                     .extracting(LeaseClaim::holder)
@@ -84,7 +85,7 @@
     }
 
     @Test
-    void orders_and_reports_whose_answers_are_lost_and_an_outage_of_the_platform_change_nothing_twice() {
+    void lost_answers_and_a_platform_outage_duplicate_no_order_or_report() {
         try (Deployment deployment = new Deployment(directory, "--list-lag-millis", "50")) {
             startSpares(deployment);
             startControllers(deployment);
@@ -125,7 +126,7 @@
             long startNanos = System.nanoTime();
             deployment.platformFault("log_outage", 0);
             Await.value("a holder after the outage", () -> holder(controllers, ""));
-            Measurements.note("new_holder_after_log_outage_lease_1500_millis", Measurements.since(startNanos));
+            Measurements.append("new_holder_after_log_outage_lease_1500_millis", Measurements.since(startNanos));
         }
     }
 
@@ -159,7 +160,7 @@
         return null;
     }
 
-    private static boolean reads(Node node, Deployment deployment) {
+    private static boolean hasCaughtUp(Node node, Deployment deployment) {
         return state(node).log_offset() > 0
                 && state(node).fencing_number() == lastOrder(deployment).fencingNumber();
     }
@@ -177,7 +178,7 @@
                         .containsOnly(same.get(0).figures()));
     }
 
-    /** What a controller tells of itself. */
+    /** The state that a controller reports. */
     record ControllerState(
             String controller, boolean holds_lease, long fencing_number, long appends_waiting, long log_offset) {}
 }
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Measurements.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Measurements.java
@@ -5,14 +5,14 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Keeps what the tests measure in target/control-measurements.txt. */
+/** Appends durations that tests measure to target/control-measurements.txt. */
 final class Measurements {
 
     private static final Path FILE = Path.of("target", "control-measurements.txt");
 
     private Measurements() {}
 
-    static void note(String name, long millis) {
+    static void append(String name, long millis) {
         try {
             Files.createDirectories(FILE.getParent());
             Files.writeString(FILE, name + "=" + millis + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Program.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/Program.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One program of the product or one stand-in, as a process of its own. */
+/** A program of the product or an emulator, run as a separate process. */
 final class Program {
 
     private static final Path JAVA =
@@ -49,12 +49,12 @@
         }
     }
 
-    /** Waits until the program wrote an event, and reads a number from its line. */
-    int awaitNumber(String event, String field) {
+    /** Waits until the program has logged an event, and returns a numeric field of it. */
+    int awaitEventNumber(String event, String field) {
         Pattern pattern = Pattern.compile("event=" + event + " .*\\b" + field + "=(\\d+)");
         return Await.value(name + " writes " + event, () -> {
             if (!process.isAlive()) {
-                throw new IllegalStateException(name + " ended: " + output());
+                throw new IllegalStateException(name + " exited: " + output());
             }
             Matcher matcher = pattern.matcher(output());
             return matcher.find() ? Integer.valueOf(matcher.group(1)) : null;
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Sends a signal to this process and no other. */
+    /** Sends a signal to exactly this process. */
     void signal(String signal) {
         try {
             new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid()))
@@ -86,7 +86,7 @@
     int awaitExit() {
         try {
             if (!process.waitFor(EXIT_SECONDS, TimeUnit.SECONDS)) {
-                throw new AssertionError(name + " did not end: " + output());
+                throw new AssertionError(name + " did not exit: " + output());
             }
             return process.exitValue();
         } catch (InterruptedException exception) {
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/TestHttpClient.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/TestHttpClient.java
@@ -11,7 +11,7 @@
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.protocol.JsonCodec;
 
-/** A plain HTTP client for the tests, over kept-alive connections. */
+/** A plain HTTP client with keep-alive connections. */
 final class TestHttpClient {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -40,7 +40,7 @@
         String body = JsonCodec.write(new FaultSwitch(name, amount));
         HttpResponse<String> answer = join(request(port, "/faults").POST(HttpRequest.BodyPublishers.ofString(body)));
         if (answer.statusCode() != 200) {
-            throw new IllegalStateException("fault " + name + ": " + answer.body());
+            throw new IllegalStateException("emulator rejected the fault " + name + ": " + answer.body());
         }
     }
 
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/UsageProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/UsageProcessTest.java
@@ -46,7 +46,7 @@
     private static void chat(Node gateway, int count) {
         for (int call = 0; call < count; call++) {
             assertThat(TestHttpClient.join(Deployment.chat(gateway.port(), TOKENS)))
-                    .matches(Deployment::isWhole);
+                    .matches(Deployment::isComplete);
         }
     }
 
@@ -55,7 +55,7 @@
                 .held_usage_calls();
     }
 
-    /** Adds up the windows, each once; two reports of a window must agree. */
+    /** Sums the usage windows, each once; repeated reports of a window must be equal. */
     private static UsageFigures reported(Deployment deployment) {
         Map<Long, UsageReport> windows = new TreeMap<>();
         for (UsageReport report : deployment.reports()) {
@@ -68,7 +68,7 @@
                 .reduce(UsageFigures.none(), UsageFigures::plus);
     }
 
-    /** What a gateway tells of itself. */
+    /** The state that a gateway reports. */
     @com.fasterxml.jackson.annotation.JsonIgnoreProperties(ignoreUnknown = true)
     record GatewayState(String gateway, long held_usage_calls) {}
 }
