--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/SecretScanTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/SecretScanTest.java
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void no_secret_stands_in_logs_metrics_status_records_or_errors() throws Exception {
+    void no_secret_appears_in_logs_metrics_status_records_or_errors() throws Exception {
         assertThat(call(KEY, "/services/ledger/bookings", "{\"fountain\":\"stork\"}"))
                 .contains("200");
         assertThat(call(UNKNOWN_KEY, "/services/ledger/bookings", "{}")).contains("401");
