--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/CapacityCommand.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/CapacityCommand.java
@@ -14,38 +14,32 @@
 import org.cranberrygauge.runtime.setting.SettingsParser;
 
 /**
- * Measures how the cost of control grows and writes the results and the tables of the page.
+ * Measures how the cost of the control plane grows, and writes the results and the tables of docs/CAPACITY.md.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 public final class CapacityCommand {
 
-    /** The name of the program. */
     private static final String NAME = "bench capacity";
 
-    /** The file for the results. */
     @Parameter(names = "--output", description = "File for the results, as JSON")
     private Path output = Path.of("docs/measurements/capacity.json");
 
-    /** The page whose tables are replaced. */
     @Parameter(names = "--page", description = "Page whose tables are replaced")
     private Path page = Path.of("docs/CAPACITY.md");
 
-    /** Whether the tables are written again from the results file. */
     @Parameter(names = "--no-measure", description = "Writes the tables of the page from the results file only")
     private boolean noMeasure;
 
-    /** Whether to print the usage and exit. */
     @Parameter(names = "--help", help = true, description = "Prints this help and exits")
     private boolean help;
 
     /**
      * Runs the command.
      *
-     * @param arguments The command line.
      * @throws IOException If a file can't be read or written.
-     * @throws TException If a message can't be written.
-     * @throws CranberrygaugeException If an entry can't be read.
+     * @throws TException If a message can't be serialized.
+     * @throws CranberrygaugeException If a log entry can't be parsed.
      */
     public static void main(String[] arguments) throws IOException, TException, CranberrygaugeException {
         CapacityCommand command = new CapacityCommand();
@@ -62,13 +56,7 @@
         command.run();
     }
 
-    /**
-     * Measures and writes.
-     *
-     * @throws IOException If a file can't be read or written.
-     * @throws TException If a message can't be written.
-     * @throws CranberrygaugeException If an entry can't be read.
-     */
+    /** Measures, unless the tables are only rendered again, and writes the results. */
     private void run() throws IOException, TException, CranberrygaugeException {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
         List<Slope> slopes = noMeasure
@@ -87,13 +75,6 @@
         System.out.println(CapacityPage.tables(results));
     }
 
-    /**
-     * Measures all slopes.
-     *
-     * @return The slopes.
-     * @throws TException If a message can't be written.
-     * @throws CranberrygaugeException If an entry can't be read.
-     */
     private static List<Slope> measure() throws TException, CranberrygaugeException {
         Meter meter = new Meter();
         List<Slope> slopes = new ArrayList<>();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/CapacityPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/CapacityPage.java
@@ -2,50 +2,34 @@
 
 import java.util.Locale;
 
-/**
- * Writes results as tables between two marks of a page.
- *
- * <p>Stateless and safe for use by several threads.
- */
+/** Renders results as tables between two markers of a page. */
 final class CapacityPage {
 
-    /** The mark before the tables. */
+    /** The marker before the tables. */
     static final String BEGIN = "<!-- begin: written by bin/bench capacity -->";
 
-    /** The mark after the tables. */
+    /** The marker after the tables. */
     static final String END = "<!-- end -->";
 
-    /** The limit below which a number is written with decimals. */
-    private static final double WHOLE_FROM = 100;
+    /** The value from which numbers are written without decimals. */
+    private static final double WHOLE_NUMBERS_FROM = 100;
 
-    /** The limit below which a number is written with three decimals. */
-    private static final double DECIMALS_BELOW = 1;
+    /** The value below which numbers are written with three decimals. */
+    private static final double THREE_DECIMALS_BELOW = 1;
 
-    /** Prevents instances. */
     private CapacityPage() {}
 
-    /**
-     * Replaces the tables of a page.
-     *
-     * @param page The page, with both marks.
-     * @param results The results.
-     * @return The page with the tables of the results.
-     */
+    /** Replaces the tables between the markers of a page. */
     static String replace(String page, CapacityResults results) {
         int begin = page.indexOf(BEGIN);
         int end = page.indexOf(END);
         if (begin < 0 || end < begin) {
-            throw new IllegalArgumentException("the page lacks its marks " + BEGIN + " and " + END);
+            throw new IllegalArgumentException("page lacks the markers " + BEGIN + " and " + END);
         }
         return page.substring(0, begin + BEGIN.length()) + "\n" + tables(results) + page.substring(end);
     }
 
-    /**
-     * Writes the tables.
-     *
-     * @param results The results.
-     * @return The tables as Markdown.
-     */
+    /** Renders the tables as Markdown. */
     static String tables(CapacityResults results) {
         StringBuilder text = new StringBuilder("\n### Cost at the target size\n\n");
         text.append("| role | quantity | form | value | budget | holds | basis |\n|---|---|---|---:|---:|---|---|\n");
@@ -78,16 +62,10 @@
         return text.append('\n').toString();
     }
 
-    /**
-     * Writes a number.
-     *
-     * @param value The number.
-     * @return The text.
-     */
     private static String number(double value) {
-        if (Math.abs(value) >= WHOLE_FROM) {
+        if (Math.abs(value) >= WHOLE_NUMBERS_FROM) {
             return String.format(Locale.ROOT, "%,.0f", value);
         }
-        return String.format(Locale.ROOT, Math.abs(value) < DECIMALS_BELOW ? "%.3f" : "%.1f", value);
+        return String.format(Locale.ROOT, Math.abs(value) < THREE_DECIMALS_BELOW ? "%.3f" : "%.1f", value);
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Estimate.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Estimate.java
@@ -1,17 +1,15 @@
 package org.cranberrygauge.verification.capacity;
 
 /**
- * A cost worked out at the target size.
+ * An estimated cost at the target size.
  *
- * @param role The role that it belongs to.
- * @param quantity What it is.
- * @param form The form of the mechanism: today's, or the one that is needed.
- * @param value The value.
- * @param unit The unit.
- * @param budget The budget in the same unit; 0 where there is none.
- * @param basis The slopes and figures it follows from.
- * @param extrapolated Whether a size lies outside what was measured.
- * @param counted Whether it counts towards the sum of one node in the form that is needed.
+ * @param role The role of a node or the mechanism that it belongs to.
+ * @param quantity What is estimated.
+ * @param form The form of the mechanism: today's, or the one needed at the target size.
+ * @param budget The budget in the same unit; 0 if there is none.
+ * @param basis The slopes and figures that it follows from.
+ * @param extrapolated Whether a size lies outside the measured range.
+ * @param counted Whether it counts towards the total of one node in the needed form.
  */
 public record Estimate(
         String role,
@@ -24,20 +22,12 @@
         boolean extrapolated,
         boolean counted) {
 
-    /**
-     * Tells whether the value fits its budget.
-     *
-     * @return Whether it does, or has none.
-     */
+    /** Tells whether the value is within its budget; true if there is none. */
     public boolean fits() {
         return budget <= 0 || value <= budget;
     }
 
-    /**
-     * Counts it towards the sum of one node.
-     *
-     * @return The counted estimate.
-     */
+    /** Returns a copy that counts towards the total of one node. */
     Estimate asCounted() {
         return new Estimate(role, quantity, form, value, unit, budget, basis, extrapolated, true);
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/EstimateTable.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/EstimateTable.java
@@ -5,77 +5,44 @@
 import java.util.Locale;
 
 /**
- * Gathers estimates, role by role.
+ * Collects estimates, role by role.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class EstimateTable {
 
-    /** The form that runs today. */
+    /** The form of a mechanism in the present version. */
     private static final String TODAY = "today";
 
-    /** The form that is needed. */
+    /** The form of a mechanism that the target size needs. */
     private static final String NEEDED = "needed";
 
-    /** The estimates so far. */
     private final List<Estimate> estimates = new ArrayList<>();
 
     /** The role of the next estimates. */
     private String role = "";
 
-    /**
-     * Sets the role of the next estimates.
-     *
-     * @param name The role.
-     */
+    /** Sets the role of the next estimates. */
     void role(String name) {
         role = name;
     }
 
-    /**
-     * Adds an estimate of the form that runs today.
-     *
-     * @param quantity What it is.
-     * @param value The value.
-     * @param budget What it is counted in.
-     * @param basis What it follows from.
-     * @return The table, to qualify the estimate.
-     */
+    /** Adds an estimate of a mechanism in its present form, and returns this table to qualify the estimate. */
     EstimateTable today(String quantity, double value, Budget budget, String basis) {
         return add(quantity, TODAY, value, budget, basis);
     }
 
-    /**
-     * Adds an estimate of the form that is needed.
-     *
-     * @param quantity What it is.
-     * @param value The value.
-     * @param budget What it is counted in.
-     * @param basis What it follows from.
-     * @return The table, to qualify the estimate.
-     */
+    /** Adds an estimate of a mechanism in the needed form, and returns this table to qualify the estimate. */
     EstimateTable needed(String quantity, double value, Budget budget, String basis) {
         return add(quantity, NEEDED, value, budget, basis);
     }
 
-    /**
-     * Adds a figure without a budget.
-     *
-     * @param quantity What it is.
-     * @param value The value.
-     * @param unit The unit.
-     * @param basis What it follows from.
-     */
+    /** Adds a figure without a budget. */
     void figure(String quantity, double value, String unit, String basis) {
         estimates.add(new Estimate(role, quantity, NEEDED, value, unit, 0, basis, false, false));
     }
 
-    /**
-     * Marks the last estimate as extrapolated.
-     *
-     * @param extrapolated Whether it is.
-     * @return The table.
-     */
+    /** Marks the last estimate as extrapolated or not. */
     EstimateTable extrapolated(boolean extrapolated) {
         Estimate last = estimates.remove(estimates.size() - 1);
         estimates.add(new Estimate(
@@ -91,49 +58,31 @@
         return this;
     }
 
-    /**
-     * Counts the last estimate towards the sum of one node.
-     *
-     * @return The table.
-     */
+    /** Counts the last estimate towards the total of one node. */
     EstimateTable counted() {
         Estimate last = estimates.remove(estimates.size() - 1);
         estimates.add(last.asCounted());
         return this;
     }
 
-    /** Adds up what one node pays in the form that is needed. */
-    void sums() {
+    /** Adds the totals of one node in the needed form. */
+    void totals() {
         role("sum of one node");
         for (Budget budget : List.of(Budget.WORK, Budget.MEMORY, Budget.TRAFFIC)) {
-            double sum = estimates.stream()
+            double total = estimates.stream()
                     .filter(estimate -> estimate.counted() && estimate.unit().equals(budget.unit()))
                     .mapToDouble(Estimate::value)
                     .sum();
-            needed(budget.name().toLowerCase(Locale.ROOT), sum, budget, "rows marked with *")
+            needed(budget.name().toLowerCase(Locale.ROOT), total, budget, "rows marked with *")
                     .extrapolated(true);
         }
     }
 
-    /**
-     * Returns the estimates.
-     *
-     * @return The estimates in their order.
-     */
+    /** Returns the estimates in the order in which they were added. */
     List<Estimate> estimates() {
         return List.copyOf(estimates);
     }
 
-    /**
-     * Adds an estimate.
-     *
-     * @param quantity What it is.
-     * @param form The form.
-     * @param value The value.
-     * @param budget What it is counted in.
-     * @param basis What it follows from.
-     * @return The table.
-     */
     private EstimateTable add(String quantity, String form, double value, Budget budget, String basis) {
         estimates.add(new Estimate(role, quantity, form, value, budget.unit(), budget.limit(), basis, false, false));
         return this;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ExchangeBenchmark.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ExchangeBenchmark.java
@@ -24,86 +24,59 @@
 import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
- * Measures the exchange of reports between many nodes in one process, by Thrift, without sockets.
+ * Measures the Thrift exchange of reports between many nodes, in one process without sockets.
  *
- * <p>A message counts where it is sent and where it is taken in, as a node pays for both. Used by one thread.
+ * <p>A message counts both where it is sent and where it is received, because a node pays for both. Not thread-safe.
  */
 final class ExchangeBenchmark {
 
-    /** The numbers of nodes. */
     static final int[] NODES = {4, 8, 16, 32, 64};
 
-    /** The backend servers with requests in flight from one node when every node uses every server. */
+    /** The backend servers with requests in flight from one node if every node uses every server. */
     static final int SERVERS_IN_USE = 139;
 
-    /** The backend servers with requests in flight from one node of a cell. */
+    /** The backend servers with requests in flight from one node if it uses those of its cell. */
     static final int CELL_SERVERS = 24;
 
-    /** The bytes of the frame, the method name and the message header of a call or answer. */
+    /** The bytes of the frame, the method name and the message header of a call or an answer. */
     private static final int FRAME_BYTES = 20;
 
-    /** The numbers of peers whose counts a routing decision adds up. */
+    /** The numbers of peers whose counts a routing decision sums. */
     private static final int[] PEERS = {3, 7, 16, 32, 63};
 
-    /** The numbers of backend servers. */
+    /** The measured numbers of backend servers. */
     private static final int[] SERVERS = {8, 64, 134, 400, 940};
 
-    /** The meter. */
     private final Meter meter;
 
-    /** The writer of messages. */
     private final TSerializer serializer;
 
-    /** The reader of messages. */
     private final TDeserializer deserializer;
 
-    /**
-     * Creates the measures.
-     *
-     * @param meter The meter.
-     * @throws TException If the codec can't be set up.
-     */
     ExchangeBenchmark(Meter meter) throws TException {
         this.meter = meter;
         this.serializer = new TSerializer(new TCompactProtocol.Factory());
         this.deserializer = new TDeserializer(new TCompactProtocol.Factory());
     }
 
-    /**
-     * Measures all.
-     *
-     * @return The slopes.
-     * @throws TException If a message can't be written.
-     */
     List<Slope> measure() throws TException {
         List<Slope> slopes = new ArrayList<>();
-        rounds("all to all", ExchangePlan.AllToAll.INSTANCE, SERVERS_IN_USE, slopes);
-        rounds("cells", ExchangePlan.Cells.standard(), CELL_SERVERS, slopes);
-        reports(slopes);
-        routing(slopes);
-        plan(slopes);
+        measureRounds("all to all", ExchangePlan.AllToAll.INSTANCE, SERVERS_IN_USE, slopes);
+        measureRounds("cells", ExchangePlan.Cells.standard(), CELL_SERVERS, slopes);
+        measureReports(slopes);
+        measureRouting(slopes);
+        measurePlan(slopes);
         return slopes;
     }
 
-    /**
-     * Makes nodes spread over the data centres.
-     *
-     * @param count The number of nodes.
-     * @return The nodes.
-     */
+    /** Creates nodes spread evenly over the data centres. */
     static List<ControlNode> nodes(int count) {
         return IntStream.range(0, count)
                 .mapToObj(number -> new ControlNode("host-" + number, "centre-" + number % SyntheticData.DATA_CENTRES))
                 .toList();
     }
 
-    /**
-     * Counts the messages of the busiest node in one round, sent and taken in.
-     *
-     * @param plan The plan.
-     * @param nodes The nodes.
-     * @return The number.
-     */
+    /** Counts the messages that the busiest node sends and receives in one round. */
     static int messages(ExchangePlan plan, List<ControlNode> nodes) {
         boolean once = plan instanceof ExchangePlan.Cells;
         Map<ControlNode, Integer> calls = new HashMap<>();
@@ -115,16 +88,8 @@
         return 2 * calls.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /**
-     * Measures one round of exchange at the busiest node.
-     *
-     * @param name The name of the plan.
-     * @param plan The plan.
-     * @param servers The number of backend servers in a report.
-     * @param slopes Takes the slopes.
-     * @throws TException If a message can't be written.
-     */
-    private void rounds(String name, ExchangePlan plan, int servers, List<Slope> slopes) throws TException {
+    /** Measures one round of exchange at the busiest node; reports list the given number of backend servers. */
+    private void measureRounds(String name, ExchangePlan plan, int servers, List<Slope> slopes) throws TException {
         List<Sample> messages = new ArrayList<>();
         List<Sample> bytes = new ArrayList<>();
         List<Sample> micros = new ArrayList<>();
@@ -142,12 +107,8 @@
     }
 
     /**
-     * Writes and reads the messages of one node in one round.
-     *
-     * @param report The report.
-     * @param wire The report as written.
-     * @param messages The number of messages, of which half are sent.
-     * @return The last report that was read.
+     * Serializes and deserializes the messages of one node in one round, half of which are sent, and returns the last
+     * report.
      */
     private Object round(GatewayReport report, byte[] wire, int messages) {
         try {
@@ -160,17 +121,11 @@
             }
             return last;
         } catch (TException exception) {
-            throw new IllegalStateException("memory can always be written", exception);
+            throw new IllegalStateException("serialization to memory must not fail", exception);
         }
     }
 
-    /**
-     * Measures the size of a report.
-     *
-     * @param slopes Takes the slopes.
-     * @throws TException If a message can't be written.
-     */
-    private void reports(List<Slope> slopes) throws TException {
+    private void measureReports(List<Slope> slopes) throws TException {
         List<Sample> bytes = new ArrayList<>();
         for (int servers : SERVERS) {
             bytes.add(new Sample(servers, serializer.serialize(SyntheticData.report(1, servers)).length));
@@ -178,34 +133,26 @@
         slopes.add(Slope.of("report bytes", "backend servers in use", "bytes", bytes));
     }
 
-    /**
-     * Measures the view of the backend servers.
-     *
-     * @param slopes Takes the slopes.
-     */
-    private void routing(List<Slope> slopes) {
+    /** Measures the update of a routing table from the reports of peers. */
+    private void measureRouting(List<Slope> slopes) {
         List<Sample> refresh = new ArrayList<>();
         for (int servers : SERVERS) {
-            BackendTableUpdater board = board(servers, 0);
+            BackendTableUpdater updater = updater(servers, 0);
             BackendTable table = table();
-            refresh.add(new Sample(servers, meter.micros(() -> refreshed(board, table))));
+            refresh.add(new Sample(servers, meter.micros(() -> refreshed(updater, table))));
         }
         slopes.add(Slope.of("routing view refresh by backend servers", "backend servers", "microseconds", refresh));
         List<Sample> peers = new ArrayList<>();
         for (int count : PEERS) {
-            BackendTableUpdater board = board(SERVERS_IN_USE, count);
+            BackendTableUpdater updater = updater(SERVERS_IN_USE, count);
             BackendTable table = table();
-            peers.add(new Sample(count, meter.micros(() -> refreshed(board, table))));
+            peers.add(new Sample(count, meter.micros(() -> refreshed(updater, table))));
         }
         slopes.add(Slope.of("routing view refresh by peers", "peers", "microseconds", peers));
     }
 
-    /**
-     * Measures the computation of the cells.
-     *
-     * @param slopes Takes the slopes.
-     */
-    private void plan(List<Slope> slopes) {
+    /** Measures the computation of the cells. */
+    private void measurePlan(List<Slope> slopes) {
         List<Sample> micros = new ArrayList<>();
         for (int count : new int[] {4, 8, 16, 32, 64, 128, 330}) {
             List<ControlNode> nodes = nodes(count);
@@ -215,16 +162,10 @@
         slopes.add(Slope.of("cells computed after a change of members", "nodes", "microseconds", micros));
     }
 
-    /**
-     * Builds a board whose servers all run one model.
-     *
-     * @param servers The number of backend servers.
-     * @param peers The number of peers.
-     * @return The board.
-     */
-    private static BackendTableUpdater board(int servers, int peers) {
-        ProcessState blackboard = new ProcessState(0);
-        blackboard.publish(IntStream.range(0, servers)
+    /** Creates an updater of a table whose backend servers all serve one model. */
+    private static BackendTableUpdater updater(int servers, int peers) {
+        ProcessState state = new ProcessState(0);
+        state.publish(IntStream.range(0, servers)
                 .mapToObj(SyntheticData::server)
                 .map(server -> new BackendServer(
                         server.name(),
@@ -239,38 +180,20 @@
                 .toList());
         for (int peer = 0; peer < peers; peer++) {
             PeerReport report = peerReport(SyntheticData.report(peer, Math.min(servers, SERVERS_IN_USE)));
-            blackboard.peers().put("host-" + peer, report);
+            state.peers().put("host-" + peer, report);
         }
-        return new BackendTableUpdater(blackboard, "host-self");
+        return new BackendTableUpdater(state, "host-self");
     }
 
-    /**
-     * Builds an empty table, as the gateway uses it.
-     *
-     * @return The table.
-     */
     private static BackendTable table() {
         return new BackendTable(SlotDivision.DemandShare.INSTANCE, OutlierDetection.PEERS);
     }
 
-    /**
-     * Refreshes a table.
-     *
-     * @param board The board.
-     * @param table The table.
-     * @return The table.
-     */
-    private static Object refreshed(BackendTableUpdater board, BackendTable table) {
-        board.refresh(1, table, 0);
+    private static Object refreshed(BackendTableUpdater updater, BackendTable table) {
+        updater.refresh(1, table, 0);
         return table;
     }
 
-    /**
-     * Converts a message.
-     *
-     * @param report The message.
-     * @return The report.
-     */
     private static PeerReport peerReport(GatewayReport report) {
         return new PeerReport(
                 report.getGateway(),
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/FailureModel.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/FailureModel.java
@@ -8,34 +8,27 @@
 import org.cranberrygauge.decision.topology.ExchangePlan;
 
 /**
- * Works out what failures cost at the target size.
+ * Estimates the cost of failures at the target size.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class FailureModel {
 
-    /** The hosts of a rack, which is an assumption. */
+    /** The number of hosts in a rack, which is an assumption. */
     private static final int RACK_HOSTS = 16;
 
-    /** The hosts that fail, are restarted or are replaced on a day. */
+    /** The number of hosts that fail, restart or are replaced per day. */
     private static final int RESTARTS_PER_DAY = 7 + 240;
 
     /** The share of the data centres that lie in the smaller region. */
     private static final double SMALLER_REGION = 3.0 / SyntheticData.DATA_CENTRES;
 
-    /** Takes the estimates. */
     private final EstimateTable table;
 
-    /**
-     * Creates a model.
-     *
-     * @param table Takes the estimates.
-     */
     FailureModel(EstimateTable table) {
         this.table = table;
     }
 
-    /** Adds all estimates. */
     void add() {
         table.role("failures");
         List<ControlNode> nodes = ExchangeBenchmark.nodes(TargetSize.NODES);
@@ -75,11 +68,8 @@
     }
 
     /**
-     * Computes the mean number of nodes that change their cell.
-     *
-     * @param nodes The nodes.
-     * @param lost The number of nodes of one data centre that are lost at once.
-     * @return The mean.
+     * Returns the mean number of nodes that move to another cell when the given number of nodes of one data centre is
+     * lost at once.
      */
     private static double moved(List<ControlNode> nodes, int lost) {
         int rounds = 30;
@@ -95,13 +85,7 @@
         return sum / rounds;
     }
 
-    /**
-     * Counts the nodes whose cell differs.
-     *
-     * @param before The nodes before.
-     * @param after The nodes after.
-     * @return The number.
-     */
+    /** Counts the nodes whose cell differs. */
     private static double changed(List<ControlNode> before, List<ControlNode> after) {
         Map<ControlNode, String> old = cells(before);
         Map<ControlNode, String> next = cells(after);
@@ -110,12 +94,6 @@
                 .count();
     }
 
-    /**
-     * Finds the cell of each node.
-     *
-     * @param nodes The nodes.
-     * @return The names of the cells.
-     */
     private static Map<ControlNode, String> cells(List<ControlNode> nodes) {
         Map<ControlNode, String> names = new HashMap<>();
         ExchangePlan.Cells.standard()
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LinearFit.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LinearFit.java
@@ -3,20 +3,19 @@
 import java.util.List;
 
 /**
- * A straight line through measured points by least squares.
+ * A straight line fitted to measured points by least squares.
  *
- * @param intercept The value at zero.
- * @param slope The growth per unit.
+ * @param intercept The value at size zero.
+ * @param slope The growth per unit of size.
  * @param determination The coefficient of determination, from 0 to 1.
- * @param largestResidual The largest distance of a point from the line, in the unit of the values.
+ * @param largestResidual The largest absolute residual, in the unit of the values.
  */
 public record LinearFit(double intercept, double slope, double determination, double largestResidual) {
 
     /**
      * Fits a line.
      *
-     * @param samples The points, at least two of them at different sizes.
-     * @return The line.
+     * @param samples The points, at least two of them with different sizes.
      */
     public static LinearFit of(List<Sample> samples) {
         double meanX = samples.stream().mapToDouble(Sample::x).average().orElseThrow();
@@ -30,7 +29,7 @@
             varianceY += (sample.y() - meanY) * (sample.y() - meanY);
         }
         if (varianceX == 0) {
-            throw new IllegalArgumentException("a line needs points at two sizes");
+            throw new IllegalArgumentException("a line requires samples of at least two different sizes");
         }
         double slope = covariance / varianceX;
         double intercept = meanY - slope * meanX;
@@ -44,12 +43,7 @@
         return new LinearFit(intercept, slope, varianceY == 0 ? 1 : 1 - squares / varianceY, largest);
     }
 
-    /**
-     * Returns the value of the line.
-     *
-     * @param x The size.
-     * @return The value.
-     */
+    /** Returns the value of the line at a size. */
     public double at(double x) {
         return intercept + slope * x;
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogRoleEstimator.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogRoleEstimator.java
@@ -1,64 +1,51 @@
 package org.cranberrygauge.verification.capacity;
 
 /**
- * Works out what the roles cost that write to the log or follow it.
+ * Estimates the cost of the roles that write to the log or follow it.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class LogRoleEstimator {
 
-    /** The usage deltas of one gateway a second. */
+    /** The usage deltas per second of one gateway. */
     private static final double DELTAS_PER_SECOND = 1;
 
-    /** The lease claims a second of the whole system. */
+    /** The lease claims per second of the whole system. */
     private static final double CLAIMS_PER_SECOND = 0.5;
 
-    /** The time for which a writer gathers records in the form that is needed, in milliseconds. */
-    private static final double GATHER_MILLIS = 50;
+    /** The time for which a writer batches records in the needed form. */
+    private static final double BATCHING_MILLIS = 50;
 
-    /** The owners of each reservation in the form that is needed. */
+    /** The owners of each reservation in the needed form. */
     private static final double OWNERS = 2;
 
-    /** The members that a reader of the log serves. */
+    /** The members that a reader relays the log to. */
     private static final double SERVED_MEMBERS = 7;
 
-    /** The number of microseconds in a second. */
     private static final double MICROS_PER_SECOND = 1_000_000;
 
-    /** The slopes. */
     private final SlopeTable slopes;
 
-    /** Takes the estimates. */
     private final EstimateTable table;
 
-    /** The number of cells. */
     private final int cells;
 
-    /**
-     * Creates the roles.
-     *
-     * @param slopes The slopes.
-     * @param table Takes the estimates.
-     * @param cells The number of cells.
-     */
     LogRoleEstimator(SlopeTable slopes, EstimateTable table, int cells) {
         this.slopes = slopes;
         this.table = table;
         this.cells = cells;
     }
 
-    /** Adds all estimates. */
     void add() {
-        reading();
-        writing();
-        configuration();
-        reservations();
-        usage();
-        lease();
+        addLogReading();
+        addLogWriting();
+        addConfiguration();
+        addReservations();
+        addUsage();
+        addLease();
     }
 
-    /** Reading the log. */
-    private void reading() {
+    private void addLogReading() {
         table.role("log reading");
         double pairs = TargetSize.REQUESTS_PER_SECOND / TargetSize.NODES / DELTAS_PER_SECOND;
         double deltas = TargetSize.NODES * DELTAS_PER_SECOND;
@@ -94,8 +81,7 @@
                 .counted();
     }
 
-    /** Writing the log. */
-    private void writing() {
+    private void addLogWriting() {
         table.role("log writing");
         double records = 2 * TargetSize.RESERVED_PER_SECOND + TargetSize.NODES * DELTAS_PER_SECOND;
         table.today("appends, 330 writers", appends(TargetSize.NODES, records), Budget.APPENDS, "1100 records/s");
@@ -105,17 +91,16 @@
                 appends(SyntheticData.DATA_CENTRES, records),
                 Budget.APPENDS,
                 "one writer a data centre; gathers 5 ms");
-        double gathered = SyntheticData.DATA_CENTRES * TargetSize.MILLIS_PER_SECOND / GATHER_MILLIS;
+        double batchedAppends = SyntheticData.DATA_CENTRES * TargetSize.MILLIS_PER_SECOND / BATCHING_MILLIS;
         table.needed(
                         "appends, 7 writers that gather 50 ms",
-                        gathered,
+                        batchedAppends,
                         Budget.APPENDS,
                         "at most one entry a writer each 50 ms; adds up to 50 ms to a reserved call")
                 .extrapolated(true);
     }
 
-    /** The configuration. */
-    private void configuration() {
+    private void addConfiguration() {
         table.role("configuration");
         double changes = TargetSize.CHANGES_PER_SECOND;
         double bytes = slopes.configuration("configuration bytes by ");
@@ -152,8 +137,7 @@
                 .counted();
     }
 
-    /** Reservations. */
-    private void reservations() {
+    private void addReservations() {
         table.role("reservations");
         Slope memory = slopes.slope("memory: reservations");
         double day = TargetSize.RESERVED_PER_SECOND * TargetSize.DAY_SECONDS;
@@ -165,8 +149,7 @@
                 .counted();
     }
 
-    /** Usage. */
-    private void usage() {
+    private void addUsage() {
         table.role("usage");
         Slope memory = slopes.slope("memory: usage ledger");
         double all = TargetSize.NODES * TargetSize.PAIRS;
@@ -181,8 +164,8 @@
                 .counted();
     }
 
-    /** Lease and orders. */
-    private void lease() {
+    /** Adds the estimates of the lease and of orders. */
+    private void addLease() {
         table.role("lease and orders");
         table.today("appends", CLAIMS_PER_SECOND, Budget.APPENDS, "one holder, three renewals in 6 s");
         table.today(
@@ -193,11 +176,7 @@
     }
 
     /**
-     * Works out the appends of several writers.
-     *
-     * @param writers The number of writers.
-     * @param records The records a second of all of them.
-     * @return The entries a second of all of them.
+     * Returns the entries per second of several writers that together write the given number of records per second.
      */
     private double appends(int writers, double records) {
         double between = TargetSize.MILLIS_PER_SECOND * writers / records;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Meter.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Meter.java
@@ -8,39 +8,38 @@
 import java.util.function.Supplier;
 
 /**
- * Measures processor time and memory of work on one thread.
+ * Measures the processor time and the heap memory of work on one thread.
  *
- * <p>Processor time is that of the calling thread, so that other processes on the machine disturb it little. Used by one
- * thread.
+ * <p>Processor time is that of the calling thread, so that other processes on the machine disturb it little. Not
+ * thread-safe.
  */
 public final class Meter {
 
-    /** The number of batches, of which the median counts. */
+    /** The number of batches, of which the median is taken. */
     private static final int BATCHES = 7;
 
-    /** The number of builds, of which the median counts. */
+    /** The number of builds, of which the median is taken. */
     private static final int BUILDS = 3;
 
-    /** The processor time that one batch takes at least in nanoseconds. */
+    /** The minimum processor time of one batch. */
     private static final long BATCH_NANOS = 40_000_000;
 
-    /** The processor time of the warm-up in nanoseconds. */
+    /** The minimum processor time of the warm-up. */
     private static final long WARM_UP_NANOS = 300_000_000;
 
-    /** The number of rounds of garbage collection before memory is read. */
+    /** The number of garbage collections before memory is read. */
     private static final int COLLECTIONS = 3;
 
-    /** The number of nanoseconds in a microsecond. */
     private static final double NANOS_PER_MICRO = 1_000;
 
-    /** Keeps results, so that the work can't be left out. */
-    private Object kept;
+    /** The last result, kept so that the compiler can't eliminate the work. */
+    private Object retained;
 
     /**
-     * Measures the processor time of one run of some work.
+     * Measures the processor time of some work.
      *
-     * @param work The work, which returns something that depends on it.
-     * @return The median of several batches in microseconds.
+     * @param work The work, whose result must depend on all of it.
+     * @return The median over several batches in microseconds per run.
      */
     public double micros(Supplier<?> work) {
         run(work, WARM_UP_NANOS);
@@ -53,11 +52,10 @@
     }
 
     /**
-     * Measures the heap that a structure keeps.
+     * Measures the heap memory that a structure retains.
      *
-     * @param build Builds the structure of a size.
-     * @param size The size.
-     * @return The median of several builds in bytes.
+     * @param build Builds the structure with a given size.
+     * @return The median over several builds in bytes.
      */
     public double bytes(IntFunction<Object> build, int size) {
         List<Double> builds = new ArrayList<>();
@@ -68,54 +66,32 @@
         return builds.get(BUILDS / 2);
     }
 
-    /**
-     * Measures the heap of one build.
-     *
-     * @param build Builds the structure of a size.
-     * @param size The size.
-     * @return The heap in bytes.
-     */
     private double bytesOnce(IntFunction<Object> build, int size) {
-        kept = null;
+        retained = null;
         long before = usedBytes();
-        kept = build.apply(size);
+        retained = build.apply(size);
         long after = usedBytes();
         return Math.max(0, after - before);
     }
 
-    /**
-     * Runs some work again and again.
-     *
-     * @param work The work.
-     * @param nanos The processor time to spend at least in nanoseconds.
-     * @return The processor time of one run in nanoseconds.
-     */
+    /** Repeats some work for at least the given processor time, and returns the nanoseconds per run. */
     private double run(Supplier<?> work, long nanos) {
         long start = processorNanos();
         long runs = 0;
         long spent;
         do {
-            kept = work.get();
+            retained = work.get();
             runs++;
             spent = processorNanos() - start;
         } while (spent < nanos);
         return (double) spent / runs;
     }
 
-    /**
-     * Reads the processor time of this thread.
-     *
-     * @return The time in nanoseconds.
-     */
     private static long processorNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    /**
-     * Reads the used heap after garbage collection.
-     *
-     * @return The heap in bytes.
-     */
+    /** Returns the used heap after garbage collection. */
     private static long usedBytes() {
         for (int round = 0; round < COLLECTIONS; round++) {
             System.gc();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/MetricsBenchmark.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/MetricsBenchmark.java
@@ -9,33 +9,21 @@
 /**
  * Measures the metrics of one gateway.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class MetricsBenchmark {
 
-    /** The numbers of customers, each in all classes. */
+    /** The numbers of customers, each of which uses all classes. */
     private static final int[] CUSTOMERS = {10, 50, 100, 200, 400, 670};
 
-    /** The time that is observed in milliseconds. */
     private static final double OBSERVED_MILLIS = 25;
 
-    /** The meter. */
     private final Meter meter;
 
-    /**
-     * Creates the measures.
-     *
-     * @param meter The meter.
-     */
     MetricsBenchmark(Meter meter) {
         this.meter = meter;
     }
 
-    /**
-     * Measures all.
-     *
-     * @return The slopes.
-     */
     List<Slope> measure() {
         List<Sample> bytes = new ArrayList<>();
         List<Sample> scrape = new ArrayList<>();
@@ -62,24 +50,14 @@
                 Slope.of("metrics work of one token", "pairs of customer and class", "microseconds", token));
     }
 
-    /**
-     * Builds a registry in which every pair was seen.
-     *
-     * @param customers The number of customers.
-     * @return The registry.
-     */
+    /** Builds a registry in which every pair of customer and class has observations. */
     private static PrometheusRegistry registry(int customers) {
         PrometheusRegistry registry = new PrometheusRegistry();
         fill(new GatewayMetrics(registry), customers);
         return registry;
     }
 
-    /**
-     * Observes every pair once.
-     *
-     * @param metrics The metrics.
-     * @param customers The number of customers.
-     */
+    /** Observes every pair of customer and class once. */
     private static void fill(GatewayMetrics metrics, int customers) {
         for (int customer = 0; customer < customers; customer++) {
             for (int tier = 0; tier < SyntheticData.CLASSES; tier++) {
@@ -93,25 +71,13 @@
         }
     }
 
-    /**
-     * Observes one token.
-     *
-     * @param metrics The metrics.
-     * @param customer The customer.
-     * @return The metrics.
-     */
+    /** Observes one token. */
     private static Object observed(GatewayMetrics metrics, String customer) {
         metrics.betweenTokens(customer, "class-3", OBSERVED_MILLIS);
         return metrics;
     }
 
-    /**
-     * Writes the metrics.
-     *
-     * @param registry The registry.
-     * @param compress Whether to compress them.
-     * @return The size in bytes.
-     */
+    /** Writes the metrics in the text format, compressed on demand, and returns their size in bytes. */
     private static int scrape(PrometheusRegistry registry, boolean compress) {
         return new MetricsEndpoint(registry).text(compress).length;
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/NodeRoleEstimator.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/NodeRoleEstimator.java
@@ -5,60 +5,50 @@
 import org.cranberrygauge.decision.topology.ExchangePlan;
 
 /**
- * Works out what the roles cost that a node plays on the path of requests and towards its peers.
+ * Estimates the cost of a node's roles on the request path and towards its peers.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class NodeRoleEstimator {
 
-    /** The rounds of exchange a second today. */
-    private static final double ROUNDS_TODAY = 4;
+    /** The exchange rounds per second in the present form. */
+    private static final double ROUNDS_PER_SECOND_TODAY = 4;
 
-    /** The rounds of exchange a second in cells. */
-    private static final double ROUNDS_IN_CELLS = 1.5;
+    /** The exchange rounds per second within cells. */
+    private static final double ROUNDS_PER_SECOND_IN_CELLS = 1.5;
 
-    /** The refreshes of the view of backend servers a second today. */
-    private static final double REFRESHES_TODAY = 10;
+    /** The updates per second of the routing table in the present form. */
+    private static final double REFRESHES_PER_SECOND_TODAY = 10;
 
-    /** The refreshes of the view of backend servers a second that are needed. */
-    private static final double REFRESHES_NEEDED = 2;
+    /** The updates per second of the routing table in the needed form. */
+    private static final double REFRESHES_PER_SECOND_NEEDED = 2;
 
-    /** The peers in a cell. */
     private static final double CELL_PEERS = 7;
 
-    /** The seconds between two scrapes today. */
-    private static final double SCRAPE_TODAY = 15;
+    /** The seconds between two scrapes in the present form. */
+    private static final double SCRAPE_SECONDS_TODAY = 15;
 
-    /** The seconds between two scrapes that are needed. */
-    private static final double SCRAPE_NEEDED = 60;
+    /** The seconds between two scrapes in the needed form. */
+    private static final double SCRAPE_SECONDS_NEEDED = 60;
 
-    /** The changes of members a day. */
-    private static final double MEMBER_CHANGES = 500;
+    private static final double MEMBER_CHANGES_PER_DAY = 500;
 
-    /** The slopes. */
     private final SlopeTable slopes;
 
-    /** Takes the estimates. */
     private final EstimateTable table;
 
-    /**
-     * Creates the roles.
-     *
-     * @param slopes The slopes.
-     * @param table Takes the estimates.
-     */
     NodeRoleEstimator(SlopeTable slopes, EstimateTable table) {
         this.slopes = slopes;
         this.table = table;
     }
 
-    /** Adds all estimates of the path of requests. */
+    /** Adds the estimates of the request path. */
     void add() {
-        entry();
-        routing();
-        exchange("all to all", ExchangePlan.AllToAll.INSTANCE, true);
-        exchange("cells", ExchangePlan.Cells.standard(), false);
-        double cells = MEMBER_CHANGES / TargetSize.DAY_SECONDS;
+        addRequestHandling();
+        addRouting();
+        addExchange("all to all", ExchangePlan.AllToAll.INSTANCE, true);
+        addExchange("cells", ExchangePlan.Cells.standard(), false);
+        double cells = MEMBER_CHANGES_PER_DAY / TargetSize.DAY_SECONDS;
         table.needed(
                         "cells computed",
                         cells * slopes.at("cells computed after a change of members", TargetSize.NODES),
@@ -67,16 +57,15 @@
                 .counted();
     }
 
-    /** Adds the estimates of the metrics. */
     void addMetrics() {
         table.role("metrics");
         double pairs = TargetSize.PAIRS;
         table.today("memory", slopes.at("memory: metrics", pairs), Budget.MEMORY, "5360 pairs of customer and class");
-        scrape("plain scrape", "metrics bytes of a scrape", pairs, SCRAPE_TODAY, true);
-        scrape("compressed scrape", "metrics bytes of a compressed scrape", pairs, SCRAPE_TODAY, true);
+        addScrape("plain scrape", "metrics bytes of a scrape", pairs, SCRAPE_SECONDS_TODAY, true);
+        addScrape("compressed scrape", "metrics bytes of a compressed scrape", pairs, SCRAPE_SECONDS_TODAY, true);
         table.today(
                 "work of scrapes",
-                slopes.at("metrics work of a compressed scrape", pairs) / SCRAPE_TODAY,
+                slopes.at("metrics work of a compressed scrape", pairs) / SCRAPE_SECONDS_TODAY,
                 Budget.WORK,
                 "5360 pairs, every 15 s");
         double tokens = TargetSize.TOKENS_PER_SECOND / TargetSize.NODES;
@@ -93,25 +82,16 @@
                         Budget.MEMORY,
                         "678 series: by customer, and by class")
                 .counted();
-        scrape("compressed scrape", "metrics bytes of a compressed scrape", few, SCRAPE_NEEDED, false);
+        addScrape("compressed scrape", "metrics bytes of a compressed scrape", few, SCRAPE_SECONDS_NEEDED, false);
         table.needed(
                         "work of scrapes",
-                        slopes.at("metrics work of a compressed scrape", few) / SCRAPE_NEEDED,
+                        slopes.at("metrics work of a compressed scrape", few) / SCRAPE_SECONDS_NEEDED,
                         Budget.WORK,
                         "678 series, every 60 s")
                 .counted();
     }
 
-    /**
-     * Adds the traffic of scrapes.
-     *
-     * @param quantity What it is.
-     * @param slope The slope of the bytes.
-     * @param series The number of series of each metric.
-     * @param seconds The seconds between two scrapes.
-     * @param today Whether it is the form that runs today.
-     */
-    private void scrape(String quantity, String slope, double series, double seconds, boolean today) {
+    private void addScrape(String quantity, String slope, double series, double seconds, boolean today) {
         double value = slopes.at(slope, series) / seconds;
         String basis = Math.round(series) + " series of each metric, every " + Math.round(seconds) + " s";
         if (today) {
@@ -121,8 +101,8 @@
         }
     }
 
-    /** The caller's entry. */
-    private void entry() {
+    /** Adds the estimates of handling callers' requests. */
+    private void addRequestHandling() {
         table.role("caller's entry");
         double requests = TargetSize.REQUESTS_PER_SECOND / TargetSize.NODES;
         table.today(
@@ -133,30 +113,31 @@
                 .counted();
     }
 
-    /** Routing. */
-    private void routing() {
+    private void addRouting() {
         table.role("routing");
         Slope servers = slopes.slope("routing view refresh by backend servers");
         Slope peers = slopes.slope("routing view refresh by peers");
         double all = servers.at(TargetSize.SERVERS) + peers.fit().slope() * (TargetSize.NODES - 1);
-        table.today("view refresh", REFRESHES_TODAY * all, Budget.WORK, "10 a second, 940 servers, 329 peers")
+        table.today(
+                        "view refresh",
+                        REFRESHES_PER_SECOND_TODAY * all,
+                        Budget.WORK,
+                        "10 a second, 940 servers, 329 peers")
                 .extrapolated(true);
         double cell = servers.at(TargetSize.SERVERS) + peers.fit().slope() * CELL_PEERS;
-        table.needed("view refresh", REFRESHES_NEEDED * cell, Budget.WORK, "2 a second, 940 servers, 7 peers")
+        table.needed(
+                        "view refresh",
+                        REFRESHES_PER_SECOND_NEEDED * cell,
+                        Budget.WORK,
+                        "2 a second, 940 servers, 7 peers")
                 .counted();
     }
 
-    /**
-     * The peers' exchange.
-     *
-     * @param name The name of the plan.
-     * @param plan The plan.
-     * @param today Whether it is the form that runs today.
-     */
-    private void exchange(String name, ExchangePlan plan, boolean today) {
+    /** Adds the estimates of the exchange between peers. */
+    private void addExchange(String name, ExchangePlan plan, boolean today) {
         table.role("peers' exchange");
         List<ControlNode> nodes = ExchangeBenchmark.nodes(TargetSize.NODES);
-        double rounds = today ? ROUNDS_TODAY : ROUNDS_IN_CELLS;
+        double rounds = today ? ROUNDS_PER_SECOND_TODAY : ROUNDS_PER_SECOND_IN_CELLS;
         double messages = rounds * ExchangeBenchmark.messages(plan, nodes);
         String numbers = "exchange messages a round: " + name;
         double traffic = messages * slopes.perMessage("exchange bytes a round: " + name, numbers);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Sample.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/Sample.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.verification.capacity;
 
 /**
- * One measured point.
+ * A measured point.
  *
  * @param x The size that was varied.
  * @param y The measured value.
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/SyntheticData.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/SyntheticData.java
@@ -28,44 +28,30 @@
 import org.cranberrygauge.model.service.ServiceClass;
 import org.cranberrygauge.protocol.generated.GatewayReport;
 
-/**
- * Makes configurations, reports and records of a given size.
- *
- * <p>Stateless and safe for use by several threads.
- */
+/** Generates configurations, reports and records of a given size for the measurements. */
 final class SyntheticData {
 
-    /** The number of tiers and classes. */
+    /** The number of classes, each with a tier of its own. */
     static final int CLASSES = 8;
 
-    /** The number of models. */
     static final int MODELS = 7;
 
-    /** The number of data centres. */
     static final int DATA_CENTRES = 7;
 
-    /** The first port of backend servers. */
+    /** The port of the first backend server. */
     private static final int FIRST_PORT = 20_000;
 
     /** The slots of a backend server. */
     private static final int SLOTS = 64;
 
-    /** The retention of reservations in milliseconds. */
     private static final long RETENTION_MILLIS = 86_400_000;
 
-    /** The share that each class is guaranteed. */
+    /** The guaranteed share of each class. */
     private static final double SHARE = 0.1;
 
-    /** Prevents instances. */
     private SyntheticData() {}
 
-    /**
-     * Makes a configuration that passes its checks.
-     *
-     * @param customers The number of customers, each with two keys.
-     * @param servers The number of backend servers.
-     * @return The configuration.
-     */
+    /** Generates a valid configuration; each customer has two keys. */
     static Configuration configuration(int customers, int servers) {
         Set<String> classNames = new TreeSet<>();
         IntStream.range(0, CLASSES).forEach(tier -> classNames.add("class-" + tier));
@@ -88,11 +74,6 @@
                 .withTimes(new ControlTimes(6_000, 1_000, 60_000, RETENTION_MILLIS, 3_000));
     }
 
-    /**
-     * Makes a configuration that has a name only.
-     *
-     * @return The configuration.
-     */
     private static Configuration named() {
         return new Configuration(
                 "target",
@@ -107,13 +88,6 @@
                 ControlTimes.standard());
     }
 
-    /**
-     * Makes a customer.
-     *
-     * @param number The number.
-     * @param classNames The classes it may use.
-     * @return The customer.
-     */
     static Customer customer(int number, Set<String> classNames) {
         List<CustomerKey> keys = List.of(
                 new CustomerKey("first", KeyDigest.of(key(number))),
@@ -121,22 +95,11 @@
         return new Customer("customer-" + number, 1, keys, classNames);
     }
 
-    /**
-     * Returns the first key of a customer.
-     *
-     * @param number The number of the customer.
-     * @return The key.
-     */
+    /** Returns the first key of a customer. */
     static String key(int number) {
         return "cg-first-" + number;
     }
 
-    /**
-     * Makes a backend server.
-     *
-     * @param number The number.
-     * @return The backend server.
-     */
     static BackendServer server(int number) {
         return new BackendServer(
                 "engine-" + number,
@@ -149,13 +112,6 @@
                 true);
     }
 
-    /**
-     * Makes the report of a gateway.
-     *
-     * @param node The number of the gateway.
-     * @param servers The number of backend servers with requests in flight.
-     * @return The report.
-     */
     static GatewayReport report(int node, int servers) {
         Map<String, Integer> inFlight = new HashMap<>();
         IntStream.range(0, servers).forEach(number -> inFlight.put("engine-" + number, 1 + number % 3));
@@ -165,12 +121,6 @@
                 "host-" + node + "/1796330000000-4242", "host-" + node, 12_345, 67_890, 40, inFlight, waiting, false);
     }
 
-    /**
-     * Makes a reservation.
-     *
-     * @param number The number, which makes it unique.
-     * @return The reservation.
-     */
     static LogRecord reservation(long number) {
         return new LogRecord.Reservation(
                 reservationId(number),
@@ -182,12 +132,6 @@
                 1_796_330_000_000L + number);
     }
 
-    /**
-     * Makes the outcome of a reservation.
-     *
-     * @param number The number of the reservation.
-     * @return The outcome, with a small answer.
-     */
     static LogRecord outcome(long number) {
         return new LogRecord.ReservationOutcome(
                 reservationId(number),
@@ -198,14 +142,7 @@
                 true);
     }
 
-    /**
-     * Makes a usage delta.
-     *
-     * @param gateway The number of the gateway.
-     * @param sequence The sequence number.
-     * @param keys The number of pairs of customer and class in it.
-     * @return The delta.
-     */
+    /** Generates the usage of a gateway with the given number of pairs of customer and class. */
     static LogRecord.UsageDelta usage(int gateway, long sequence, int keys) {
         Map<UsageKey, UsageFigures> totals = new HashMap<>();
         for (int number = 0; number < keys; number++) {
@@ -215,14 +152,6 @@
         return new LogRecord.UsageDelta("host-" + gateway + "/1796330000000-4242", sequence, totals);
     }
 
-    /**
-     * Makes several records.
-     *
-     * @param first The first number.
-     * @param count The number of records.
-     * @param kind Makes a record of a number.
-     * @return The records.
-     */
     static List<LogRecord> records(long first, int count, LongFunction<LogRecord> kind) {
         List<LogRecord> records = new ArrayList<>();
         for (int index = 0; index < count; index++) {
@@ -231,32 +160,14 @@
         return records;
     }
 
-    /**
-     * Returns the identifier of a reservation.
-     *
-     * @param number The number.
-     * @return The identifier.
-     */
     private static String reservationId(long number) {
         return "host-" + number % 330 + "/1796330000000-4242/" + number;
     }
 
-    /**
-     * Makes a data centre.
-     *
-     * @param number The number.
-     * @return The data centre.
-     */
     private static DataCentre dataCentre(int number) {
         return new DataCentre("centre-" + number, number < DATA_CENTRES / 2 ? "region-west" : "region-east");
     }
 
-    /**
-     * Counts from 0.
-     *
-     * @param count The number of numbers.
-     * @return The numbers.
-     */
     private static Stream<Integer> range(int count) {
         return IntStream.range(0, count).boxed();
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetModel.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetModel.java
@@ -3,22 +3,12 @@
 import java.util.List;
 import org.cranberrygauge.decision.topology.ExchangePlan;
 
-/**
- * Works out the cost of control at the target size from measured slopes.
- *
- * <p>Stateless and safe for use by several threads.
- */
+/** Estimates the cost of the control plane at the target size from measured slopes. */
 final class TargetModel {
 
-    /** Prevents instances. */
     private TargetModel() {}
 
-    /**
-     * Works out all estimates.
-     *
-     * @param measured The slopes.
-     * @return The estimates in the order of the roles.
-     */
+    /** Returns all estimates, ordered by role. */
     static List<Estimate> estimates(List<Slope> measured) {
         SlopeTable slopes = new SlopeTable(measured);
         EstimateTable table = new EstimateTable();
@@ -29,7 +19,7 @@
         nodes.add();
         new LogRoleEstimator(slopes, table, cells).add();
         nodes.addMetrics();
-        table.sums();
+        table.totals();
         new FailureModel(table).add();
         return table.estimates();
     }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/package-info.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/package-info.java
@@ -1,2 +1,4 @@
-/** Measures how the cost of control grows, and works out its cost at the target size. */
+/**
+ * Measures how the cost of the control plane grows with the size of the system, and extrapolates it to the target size.
+ */
 package org.cranberrygauge.verification.capacity;
