--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/DecisionBenchmark.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/DecisionBenchmark.java
@@ -34,10 +34,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Measures one whole decision: a request is admitted to the queue of a full system, a slot becomes free, and the request
- * that is next starts on a backend server.
+ * Measures one dispatch decision: a request is admitted to the queue of a system at capacity, a slot is released, and
+ * the next request starts on a backend server.
  *
- * <p>Used by one thread of the benchmark.
+ * <p>Not thread-safe.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -47,31 +47,25 @@
 @Measurement(iterations = 4, time = 1)
 public class DecisionBenchmark implements DispatchListener {
 
-    /** The number of customers. */
     private static final int CUSTOMERS = 670;
 
-    /** The number of tiers. */
     private static final int TIERS = 8;
 
-    /** The number of models. */
     private static final int MODELS = 7;
 
     /** The slots of a backend server. */
     private static final int SLOTS = 8;
 
-    /** The requests that wait. */
-    private static final int WAITING = 1_000;
+    private static final int QUEUED = 1_000;
 
-    /** The tokens of a prompt. */
     private static final int PROMPT_TOKENS = 400;
 
-    /** The most tokens of an answer. */
-    private static final int OUTPUT_TOKENS = 400;
+    /** The maximum length of an answer. */
+    private static final int MAXIMUM_OUTPUT_TOKENS = 400;
 
-    /** The number of prefixes. */
     private static final int PREFIXES = 1_000;
 
-    /** The time between two decisions in milliseconds. */
+    /** The time between two decisions. */
     private static final long STEP_MILLIS = 1;
 
     /** The number of backend servers. */
@@ -82,25 +76,21 @@
     @Param({"ours", "least-in-flight"})
     public String routing;
 
-    /** The dispatcher. */
     private Dispatcher dispatcher;
 
     /** The running requests in the order of their starts. */
     private final Deque<Running> running = new ArrayDeque<>();
 
-    /** The source of randomness. */
     private Random random;
 
-    /** The number of requests so far. */
     private long requests;
 
-    /** The present time in milliseconds. */
     private long nowMillis;
 
-    /** The names of customers, made in advance. */
+    /** The names of customers, created in advance. */
     private final String[] customers = new String[CUSTOMERS];
 
-    /** The digests of prefixes, made in advance. */
+    /** The prefix digests, created in advance. */
     private final String[] prefixes = new String[PREFIXES];
 
     /** Fills all slots and the queue. */
@@ -123,19 +113,19 @@
         dispatcher = new Dispatcher(policy, this, random);
         dispatcher.table().configure(backendServers());
         dispatcher.configure(classes());
-        for (int index = 0; index < servers * SLOTS + WAITING; index++) {
+        for (int index = 0; index < servers * SLOTS + QUEUED; index++) {
             submit();
         }
     }
 
-    /** Admits one request, frees one slot and starts what is next. */
+    /** Admits one request, releases one slot and starts the next request. */
     @Benchmark
     public void decide() {
         nowMillis += STEP_MILLIS;
         submit();
         Running ended = running.pollFirst();
         if (ended != null) {
-            dispatcher.finished(ended.requestId(), PROMPT_TOKENS + OUTPUT_TOKENS / 2);
+            dispatcher.finished(ended.requestId(), PROMPT_TOKENS + MAXIMUM_OUTPUT_TOKENS / 2);
             dispatcher.ended(nowMillis, ended.requestId(), ended.server());
         }
     }
@@ -147,15 +137,14 @@
 
     @Override
     public void refuse(Refusal refusal) {
-        // A refused request needs nothing further.
+        // Nothing to release for a refused request.
     }
 
     @Override
     public void preempt(long requestId) {
-        // Preemption is decided by ticks, which are not measured here.
+        // Preemption is decided in ticks, which this benchmark doesn't run.
     }
 
-    /** Submits a request. */
     private void submit() {
         requests++;
         String model = "model-" + random.nextInt(MODELS);
@@ -165,18 +154,14 @@
                 1,
                 "class-" + random.nextInt(TIERS),
                 model,
-                PROMPT_TOKENS + OUTPUT_TOKENS,
+                PROMPT_TOKENS + MAXIMUM_OUTPUT_TOKENS,
                 nowMillis,
                 nowMillis + TimeUnit.HOURS.toMillis(1));
         RoutingRequest prompt = new RoutingRequest(model, prefixes[random.nextInt(PREFIXES)], PROMPT_TOKENS);
         dispatcher.submit(nowMillis, request, prompt, true, Eligibility.Any.INSTANCE);
     }
 
-    /**
-     * Creates the backend servers.
-     *
-     * @return The servers, each with all models.
-     */
+    /** Creates backend servers that each serve all models. */
     private List<BackendServer> backendServers() {
         List<BackendServer> list = new ArrayList<>();
         Set<String> models = Set.of("model-0", "model-1", "model-2", "model-3", "model-4", "model-5", "model-6");
@@ -194,11 +179,7 @@
         return list;
     }
 
-    /**
-     * Creates the classes.
-     *
-     * @return The classes, one a tier, whose targets are so long that nothing is refused.
-     */
+    /** Creates one class per tier, with targets so long that nothing is refused. */
     private static List<ServiceClass> classes() {
         List<ServiceClass> list = new ArrayList<>();
         long hour = TimeUnit.HOURS.toMillis(1);
@@ -208,11 +189,6 @@
         return list;
     }
 
-    /**
-     * A running request.
-     *
-     * @param requestId The identifier of the request.
-     * @param server The name of its backend server.
-     */
+    /** A request that occupies a slot of a backend server. */
     private record Running(long requestId, String server) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/DecisionCommand.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/DecisionCommand.java
@@ -11,10 +11,9 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Runs the benchmark of decisions and writes its page. */
+/** Runs {@link DecisionBenchmark} and writes its page. */
 public final class DecisionCommand {
 
-    /** Prevents instances. */
     private DecisionCommand() {}
 
     /**
@@ -36,12 +35,6 @@
         Files.writeString(page, render(results));
     }
 
-    /**
-     * Writes the page.
-     *
-     * @param results The results.
-     * @return The page.
-     */
     private static String render(Collection<RunResult> results) {
         StringBuilder text = new StringBuilder();
         text.append("# Time and memory of one decision\n\n")
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/LoadCallers.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/LoadCallers.java
@@ -21,45 +21,33 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 
 /**
- * Callers that each send one streamed completion after the other.
+ * Callers that each send streamed completion requests, one after the other.
  *
  * <p>Safe for use by several threads.
  */
 final class LoadCallers {
 
-    /** The longest time that is recorded in microseconds. */
-    private static final long LONGEST_MICROS = TimeUnit.SECONDS.toMicros(60);
+    /** The longest recordable time; longer ones are recorded as this. */
+    private static final long MAXIMUM_MICROS = TimeUnit.SECONDS.toMicros(60);
 
-    /** The digits of recorded times. */
-    private static final int DIGITS = 3;
+    /** The number of significant digits of recorded times. */
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** The status of a successful answer. */
-    private static final int OK = 200;
+    /** The HTTP status of a successful response. */
+    private static final int STATUS_OK = 200;
 
-    /** The client. */
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    /** The addresses, used in turn. */
+    /** The target addresses, used in turn. */
     private final List<NetworkAddress> addresses;
 
-    /** The key. */
     private final String key;
 
-    /** The body of each request. */
     private final String body;
 
-    /** The number of requests so far. */
     private final AtomicInteger sent = new AtomicInteger();
 
-    /**
-     * Creates callers.
-     *
-     * @param addresses The addresses, used in turn.
-     * @param key The key.
-     * @param model The model.
-     * @param outputTokens The tokens of an answer.
-     */
     LoadCallers(List<NetworkAddress> addresses, String key, String model, int outputTokens) {
         this.addresses = List.copyOf(addresses);
         this.key = key;
@@ -67,15 +55,7 @@
                 + ",\"messages\":[{\"role\":\"user\",\"content\":\"What lies in the fountain?\"}]}";
     }
 
-    /**
-     * Calls for a while.
-     *
-     * @param concurrency The requests in flight.
-     * @param seconds The length in seconds.
-     * @return What was measured.
-     * @throws InterruptedException If it is interrupted.
-     * @throws ExecutionException If a caller fails.
-     */
+    /** Sends requests for the given time with the given number in flight. */
     Outcome run(int concurrency, int seconds) throws InterruptedException, ExecutionException {
         long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         ExecutorService threads = Executors.newFixedThreadPool(concurrency);
@@ -94,15 +74,9 @@
         }
     }
 
-    /**
-     * Calls again and again.
-     *
-     * @param untilNanos The time at which to stop in nanoseconds.
-     * @return What was measured.
-     * @throws InterruptedException If it is interrupted.
-     */
+    /** Sends requests until a time. */
     private Outcome callUntil(long untilNanos) throws InterruptedException {
-        Histogram firstToken = new Histogram(LONGEST_MICROS, DIGITS);
+        Histogram firstToken = new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS);
         long failed = 0;
         while (System.nanoTime() < untilNanos) {
             try {
@@ -110,7 +84,7 @@
                 if (micros < 0) {
                     failed++;
                 } else {
-                    firstToken.recordValue(Math.min(LONGEST_MICROS, micros));
+                    firstToken.recordValue(Math.min(MAXIMUM_MICROS, micros));
                 }
             } catch (IOException exception) {
                 failed++;
@@ -119,13 +93,7 @@
         return new Outcome(firstToken, failed);
     }
 
-    /**
-     * Calls once.
-     *
-     * @return The time to the first token in microseconds; negative if the call failed.
-     * @throws IOException If the connection fails.
-     * @throws InterruptedException If it is interrupted.
-     */
+    /** Sends one request and returns the time to the first token in microseconds; negative if the request failed. */
     private long call() throws IOException, InterruptedException {
         NetworkAddress address = addresses.get(Math.floorMod(sent.getAndIncrement(), addresses.size()));
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + "/v1/chat/completions"))
@@ -136,56 +104,41 @@
         long startNanos = System.nanoTime();
         HttpResponse<InputStream> response = client.send(request, HttpResponse.BodyHandlers.ofInputStream());
         long firstNanos = 0;
-        boolean whole = false;
+        boolean complete = false;
         try (BufferedReader reader =
                 new BufferedReader(new InputStreamReader(response.body(), StandardCharsets.UTF_8))) {
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 if (firstNanos == 0 && line.contains("\"content\"")) {
                     firstNanos = System.nanoTime();
                 }
-                whole |= line.equals("data: [DONE]");
+                complete |= line.equals("data: [DONE]");
             }
         }
-        if (response.statusCode() != OK || !whole || firstNanos == 0) {
+        if (response.statusCode() != STATUS_OK || !complete || firstNanos == 0) {
             return -1;
         }
         return TimeUnit.NANOSECONDS.toMicros(firstNanos - startNanos);
     }
 
     /**
-     * What was measured.
+     * The result of a run.
      *
      * @param firstToken The times to the first token in microseconds.
-     * @param failed The calls without a whole answer.
+     * @param failed The number of requests without a complete answer.
      */
     record Outcome(Histogram firstToken, long failed) {
 
-        /**
-         * Returns nothing measured.
-         *
-         * @return The empty outcome.
-         */
         static Outcome empty() {
-            return new Outcome(new Histogram(LONGEST_MICROS, DIGITS), 0);
+            return new Outcome(new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS), 0);
         }
 
-        /**
-         * Adds another outcome.
-         *
-         * @param other The other.
-         * @return The sum.
-         */
         Outcome plus(Outcome other) {
             Histogram sum = firstToken.copy();
             sum.add(other.firstToken);
             return new Outcome(sum, failed + other.failed);
         }
 
-        /**
-         * Returns the calls with a whole answer.
-         *
-         * @return The number.
-         */
+        /** Returns the number of requests with a complete answer. */
         long answered() {
             return firstToken.getTotalCount();
         }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/MachineLoad.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/MachineLoad.java
@@ -3,17 +3,12 @@
 import java.lang.management.ManagementFactory;
 import java.util.Locale;
 
-/** Says how busy the machine is, for the pages of benchmarks. */
+/** Describes the load of the machine, for the pages of benchmarks. */
 final class MachineLoad {
 
-    /** Prevents instances. */
     private MachineLoad() {}
 
-    /**
-     * Describes the load of the machine.
-     *
-     * @return A sentence with the mean number of runnable threads over the last minute and the number of cores.
-     */
+    /** Returns a sentence with the load average over the last minute and the number of cores. */
     static String describe() {
         return String.format(
                 Locale.ROOT,
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/package-info.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks of the decision path and of the gateways over real sockets. */
+/** Benchmarks of dispatch decisions, and of gateways over real sockets. */
 package org.cranberrygauge.verification.benchmark;
