--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetSize.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/TargetSize.java
@@ -13,10 +13,13 @@
     /** The pairs of customer and class. */
     static final double PAIRS = (double) CUSTOMERS * SyntheticData.CLASSES;
 
+    /** The requests per second of the whole system. */
     static final double REQUESTS_PER_SECOND = 7_700;
 
+    /** The tokens per second of the whole system. */
     static final double TOKENS_PER_SECOND = 1_600_000;
 
+    /** The configuration changes per second on the average of a day. */
     static final double AVERAGE_CHANGES_PER_SECOND = 1_500 / 86_400.0;
 
     /** The configuration changes per second at ten times the average, which is an assumption. */
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/ClassTokenQueue.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/ClassTokenQueue.java
@@ -7,7 +7,7 @@
 /**
  * The output tokens that one class requests, served first in, first out.
  *
- * <p>Not thread-safe.
+ * <p>Times are seconds since the start of the day. Not thread-safe.
  */
 final class ClassTokenQueue {
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SimulatedEngine.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/SimulatedEngine.java
@@ -81,6 +81,7 @@
         slowness = factor;
     }
 
+    /** Sets the share of attempts that fail, from 0 to 1. */
     void setFailureRate(double rate) {
         failureRate = rate;
     }
