--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/DocumentationTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/DocumentationTest.java
@@ -34,10 +34,6 @@
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
-    /** Modules whose comments have not been brought in line yet. */
-    private static final Set<String> NOT_YET_CHECKED =
-            Set.of("cranberrygauge-proxy", "platform", "cranberrygauge-verification");
-
     /** Words that add nothing to a name in a comment such as "Returns the pool." */
     private static final Set<String> FILLERS = Set.of(
             "a",
@@ -122,8 +118,6 @@
             }
         }
         assertThat(sources).hasSizeGreaterThan(100);
-        sources.removeIf(file ->
-                NOT_YET_CHECKED.contains(ROOT.relativize(file).getName(0).toString()));
         return sources;
     }
 
