--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControlAppender.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/ControlAppender.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 import org.cranberrygauge.model.record.LogRecord;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.log.LogAppender;
-import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Appends control records to the log, with at most one record per key in flight.
@@ -22,14 +22,14 @@
 
     private final LogAppender appender;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     /** Log offset of the latest record of each key, or {@link #IN_FLIGHT}. */
     private final ConcurrentMap<String, Long> offsets = new ConcurrentHashMap<>();
 
-    public ControlAppender(LogAppender appender, ProcessState processState) {
+    public ControlAppender(LogAppender appender, Blackboard blackboard) {
         this.appender = appender;
-        this.processState = processState;
+        this.blackboard = blackboard;
     }
 
     /** Returns whether a record with this key may be appended, that is, none is in flight or still to be read back. */
@@ -38,7 +38,7 @@
         if (offset == null) {
             return true;
         }
-        if (offset > processState.position().offset()) {
+        if (offset > blackboard.position().offset()) {
             return false;
         }
         offsets.remove(key, offset);
@@ -51,7 +51,7 @@
      * @return The future offset of the entry, or empty if the key is not free.
      */
     public Optional<Future<Long>> append(String key, LogRecord record) {
-        long readOffset = processState.position().offset();
+        long readOffset = blackboard.position().offset();
         offsets.values().removeIf(offset -> offset <= readOffset);
         if (!isFree(key) || offsets.putIfAbsent(key, IN_FLIGHT) != null) {
             return Optional.empty();
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/Controller.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/Controller.java
@@ -32,13 +32,13 @@
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
 import org.cranberrygauge.model.configuration.Configuration;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.lifecycle.Program;
 import org.cranberrygauge.runtime.log.LogAppender;
 import org.cranberrygauge.runtime.log.LogFollower;
 import org.cranberrygauge.runtime.log.SnapshotWriter;
 import org.cranberrygauge.runtime.platform.HttpPlatform;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -76,7 +76,7 @@
 
     private final String incarnation;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final LogFollower follower;
 
@@ -113,18 +113,18 @@
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         Program.reportUnhandled(vertx, events);
         incarnation = Program.incarnation(settings.hostName(), time.wallMillis());
-        processState = new ProcessState(time.monotonicMillis());
+        blackboard = new Blackboard(time.monotonicMillis());
         HttpPlatform platform = new HttpPlatform(vertx, settings.platformAddress(), settings.platformTimeoutMillis());
-        follower = new LogFollower(vertx, platform, processState, time, events);
+        follower = new LogFollower(vertx, platform, blackboard, time, events);
         appender = new LogAppender(vertx, platform, incarnation);
-        controlAppender = new ControlAppender(appender, processState);
+        controlAppender = new ControlAppender(appender, blackboard);
         gatewayLoadPoller = new GatewayLoadPoller(time);
         leaderElector = new LeaderElector(incarnation, settings.hostName(), time.monotonicMillis());
         orderDispatcher = new OrderDispatcher(
                 incarnation,
                 new ForecastFleetPlanner(settings.fleetParameters()),
                 leaderElector,
-                processState,
+                blackboard,
                 follower,
                 controlAppender,
                 platform,
@@ -234,7 +234,7 @@
     private void plan(long nowMillis, LogState state) {
         Configuration configuration = state.configuration().current().configuration();
         List<BackendServer> servers = new ArrayList<>(configuration.backendServers());
-        processState.listed().stream()
+        blackboard.listedBackendServers().stream()
                 .filter(listed -> listed.state() == HostState.LIVE)
                 .map(ListedBackendServer::server)
                 .forEach(servers::add);
@@ -249,9 +249,9 @@
         JsonObject body = new JsonObject()
                 .put("controller", incarnation)
                 .put("holds_lease", leaderElector.holds(time.monotonicMillis()))
-                .put("fencing_number", processState.log().lease().fencingNumber())
+                .put("fencing_number", blackboard.log().lease().fencingNumber())
                 .put("appends_waiting", appender.backlog())
-                .put("log_offset", processState.position().offset());
+                .put("log_offset", blackboard.position().offset());
         request.response().putHeader("Content-Type", "application/json").end(body.toBuffer());
     }
 }
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/GatewayLoadPoller.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/gateway/GatewayLoadPoller.java
@@ -72,7 +72,7 @@
     private void query(GatewayMember member) {
         long requestedAtMillis = time.monotonicMillis();
         try {
-            GatewayStatusClient.ask(member)
+            GatewayStatusClient.fetchReport(member)
                     .filter(report -> report.getGateway().equals(member.gateway()))
                     .ifPresent(report -> loads.put(member.gateway(), load(requestedAtMillis, report)));
         } finally {
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/MembershipPruner.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/membership/MembershipPruner.java
@@ -68,7 +68,7 @@
         for (GatewayMember member : state.members().all()) {
             GatewayLoad load = loads.get(member.gateway());
             if (load != null) {
-                livenessTracker.heard(load.atMillis(), member.host());
+                livenessTracker.recordReport(load.atMillis(), member.host());
             }
         }
         platform.entryHosts()
--- a/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/OrderDispatcher.java
+++ b/cranberrygauge-controller/src/main/java/org/cranberrygauge/controller/order/OrderDispatcher.java
@@ -21,9 +21,9 @@
 import org.cranberrygauge.model.record.LogRecord.OrderIntent;
 import org.cranberrygauge.model.record.LogRecord.OrderOutcome;
 import org.cranberrygauge.protocol.platform.Platform;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.log.LogFollower;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -51,7 +51,7 @@
 
     private final LeaderElector leaderElector;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final LogFollower follower;
 
@@ -82,7 +82,7 @@
             String incarnation,
             FleetPlanner planner,
             LeaderElector leaderElector,
-            ProcessState processState,
+            Blackboard blackboard,
             LogFollower follower,
             ControlAppender appender,
             Platform platform,
@@ -91,7 +91,7 @@
         this.incarnation = incarnation;
         this.planner = planner;
         this.leaderElector = leaderElector;
-        this.processState = processState;
+        this.blackboard = blackboard;
         this.follower = follower;
         this.appender = appender;
         this.platform = platform;
@@ -118,7 +118,7 @@
         }
         closeOrdersOfFormerHolders(state);
         platform.backendServers().thenAccept(listed -> {
-            processState.publish(listed);
+            blackboard.publish(listed);
             follower.onContext(later -> appendDueIntents(configuration, demand, reserve));
         });
     }
@@ -130,7 +130,7 @@
             return;
         }
         OrderIntent intent = intentResult.intent();
-        long timeoutMillis = processState.configuration().times().orderTimeoutMillis();
+        long timeoutMillis = blackboard.configuration().times().orderTimeoutMillis();
         boolean leaseLasts = leaderElector.remainingMillis(time.monotonicMillis()) > timeoutMillis;
         if (!intentResult.valid() || !leaseLasts) {
             poolsInFlight.remove(intent.pool());
@@ -174,7 +174,7 @@
      */
     private Map<String, PoolState> poolStates(long nowMillis) {
         Map<String, PoolState> pools = new HashMap<>();
-        for (ListedBackendServer listed : processState.listed()) {
+        for (ListedBackendServer listed : blackboard.listedBackendServers()) {
             if (listed.state() == HostState.LEAVING) {
                 continue;
             }
--- a/cranberrygauge-controller/src/test/java/org/cranberrygauge/controller/ControlAppenderTest.java
+++ b/cranberrygauge-controller/src/test/java/org/cranberrygauge/controller/ControlAppenderTest.java
@@ -15,9 +15,9 @@
 import org.cranberrygauge.model.record.LogRecord.LeaseClaim;
 import org.cranberrygauge.model.record.LogRecord.WindowClose;
 import org.cranberrygauge.protocol.platform.PlatformLog;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.blackboard.LogPosition;
 import org.cranberrygauge.runtime.log.LogAppender;
-import org.cranberrygauge.runtime.state.LogPosition;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -29,9 +29,9 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final PendingLog log = new PendingLog();
-    private final ProcessState processState = new ProcessState(0);
+    private final Blackboard blackboard = new Blackboard(0);
     private final LogAppender appender = new LogAppender(vertx, log, "host-1/1");
-    private final ControlAppender controlAppender = new ControlAppender(appender, processState);
+    private final ControlAppender controlAppender = new ControlAppender(appender, blackboard);
 
     @AfterEach
     void close() {
@@ -89,7 +89,7 @@
         log.answers.poll(10, TimeUnit.SECONDS).complete(5L);
         assertThat(appended.get(10, TimeUnit.SECONDS)).isEqualTo(5);
         assertThat(controlAppender.isFree("window-close")).isFalse();
-        processState.publish(new LogPosition(5, 0));
+        blackboard.publish(new LogPosition(5, 0));
         assertThat(controlAppender.isFree("window-close")).isTrue();
     }
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionPolicy.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/AdmissionPolicy.java
@@ -33,7 +33,7 @@
      *
      * @param replacement Creates the customer queues of a class.
      */
-    public AdmissionPolicy withLines(Supplier<CustomerQueues> replacement) {
+    public AdmissionPolicy withCustomerQueues(Supplier<CustomerQueues> replacement) {
         return new AdmissionPolicy(shares, replacement, waitLimit);
     }
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/FirstInFirstOutQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/FirstInFirstOutQueue.java
@@ -16,7 +16,7 @@
  */
 public final class FirstInFirstOutQueue implements AdmissionQueue {
 
-    /** The retry delay that refused callers are told, in milliseconds. */
+    /** The retry delay that is sent to refused callers, in milliseconds. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     /** The waiting requests in order of arrival. */
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/TieredAdmissionQueue.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/admission/TieredAdmissionQueue.java
@@ -20,10 +20,10 @@
  */
 public final class TieredAdmissionQueue implements AdmissionQueue {
 
-    /** The shortest retry delay that refused callers are told, in milliseconds. */
+    /** The shortest retry delay that is sent to refused callers, in milliseconds. */
     private static final long MINIMUM_RETRY_AFTER_MILLIS = 1_000;
 
-    /** The longest retry delay that refused callers are told, in milliseconds. */
+    /** The longest retry delay that is sent to refused callers, in milliseconds. */
     private static final long MAXIMUM_RETRY_AFTER_MILLIS = 60_000;
 
     private final AdmissionPolicy policy;
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/AdmissionFreshness.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/AdmissionFreshness.java
@@ -38,10 +38,10 @@
             return nowMillis - lastLogEndMillis <= freshnessMillis;
         }
 
-        /** Returns the peers that were heard within the freshness time. */
+        /** Returns the peers whose last report was received within the freshness time. */
         List<PeerReport> reachable(long nowMillis) {
             return peers.stream()
-                    .filter(peer -> nowMillis - peer.heardAtMillis() <= freshnessMillis)
+                    .filter(peer -> nowMillis - peer.receivedAtMillis() <= freshnessMillis)
                     .toList();
         }
 
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayFailureDetector.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/GatewayFailureDetector.java
@@ -36,7 +36,7 @@
             return hosts.stream()
                     .filter(HostLiveness::listed)
                     .filter(liveness -> nowMillis - liveness.lastListedMillis() > absenceMillis)
-                    .filter(liveness -> nowMillis - liveness.lastHeardMillis() > absenceMillis)
+                    .filter(liveness -> nowMillis - liveness.lastReportMillis() > absenceMillis)
                     .map(liveness -> members.onHost(liveness.host()))
                     .flatMap(Optional::stream)
                     .map(member -> new GatewayLeft(member.gateway(), "host_unlisted"))
@@ -54,7 +54,7 @@
         @Override
         public List<GatewayLeft> decide(long nowMillis, Membership members, Collection<HostLiveness> hosts) {
             return hosts.stream()
-                    .filter(liveness -> nowMillis - liveness.lastHeardMillis() > silenceMillis)
+                    .filter(liveness -> nowMillis - liveness.lastReportMillis() > silenceMillis)
                     .map(liveness -> members.onHost(liveness.host()))
                     .flatMap(Optional::stream)
                     .map(member -> new GatewayLeft(member.gateway(), "silent"))
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLiveness.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLiveness.java
@@ -5,6 +5,7 @@
  *
  * @param listed Whether the platform has listed the host.
  * @param lastListedMillis The monotonic time at which the platform last listed the host, in milliseconds.
- * @param lastHeardMillis The monotonic time at which any gateway last heard from the host's gateway, in milliseconds.
+ * @param lastReportMillis The monotonic time at which any gateway last received a report of the host's gateway, in
+ *     milliseconds.
  */
-public record HostLiveness(String host, boolean listed, long lastListedMillis, long lastHeardMillis) {}
+public record HostLiveness(String host, boolean listed, long lastListedMillis, long lastReportMillis) {}
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLivenessTracker.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/HostLivenessTracker.java
@@ -9,7 +9,8 @@
 import java.util.Set;
 
 /**
- * Tracks when each host on which a gateway is a member was last listed by the platform and last heard from.
+ * Tracks when each host on which a gateway is a member was last listed by the platform and when its gateway last
+ * reported.
  *
  * <p>Invariants: recorded times never decrease; absence counts only while the platform's list is read regularly, so
  * that an outage of the platform makes no host absent. Not thread-safe; confined to one thread.
@@ -25,8 +26,8 @@
     /** The monotonic time at which each host was last listed, in milliseconds. */
     private final Map<String, Long> listedAtMillis = new HashMap<>();
 
-    /** The monotonic time at which each host was last heard from, in milliseconds. */
-    private final Map<String, Long> heardAtMillis = new HashMap<>();
+    /** The monotonic time at which the gateway of each host last reported, in milliseconds. */
+    private final Map<String, Long> reportedAtMillis = new HashMap<>();
 
     /** The monotonic time at which the platform's list was last read, in milliseconds. */
     private long readAtMillis;
@@ -47,9 +48,9 @@
         }
     }
 
-    /** Records a sign of life from the gateway of a host. */
-    public void heard(long nowMillis, String host) {
-        heardAtMillis.merge(host, nowMillis, Math::max);
+    /** Records a report from the gateway of a host. */
+    public void recordReport(long nowMillis, String host) {
+        reportedAtMillis.merge(host, nowMillis, Math::max);
     }
 
     /**
@@ -61,9 +62,9 @@
     public List<HostLiveness> of(long nowMillis, Membership members) {
         List<HostLiveness> result = new ArrayList<>();
         for (String host : members.byHost().keySet()) {
-            long heard = heardAtMillis.computeIfAbsent(host, name -> nowMillis);
+            long reported = reportedAtMillis.computeIfAbsent(host, name -> nowMillis);
             long listed = listedAtMillis.computeIfAbsent(host, name -> nowMillis);
-            result.add(new HostLiveness(host, everListed.contains(host), listed, heard));
+            result.add(new HostLiveness(host, everListed.contains(host), listed, reported));
         }
         return result;
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/PeerReport.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/membership/PeerReport.java
@@ -6,7 +6,7 @@
  * The last report of a peer about itself.
  *
  * @param gateway The incarnation of the peer.
- * @param heardAtMillis The monotonic time of this process at which the report was received, in milliseconds.
+ * @param receivedAtMillis The monotonic time of this process at which the report was received, in milliseconds.
  * @param configurationVersion The version in force at the peer.
  * @param logOffset The offset up to which the peer has read the log.
  * @param logAgeMillis The time since the peer read the end of the log, as of the report, in milliseconds.
@@ -16,7 +16,7 @@
  */
 public record PeerReport(
         String gateway,
-        long heardAtMillis,
+        long receivedAtMillis,
         long configurationVersion,
         long logOffset,
         long logAgeMillis,
@@ -32,13 +32,13 @@
     /** Creates the report of a peer without waiting requests. */
     public PeerReport(
             String gateway,
-            long heardAtMillis,
+            long receivedAtMillis,
             long configurationVersion,
             long logOffset,
             long logAgeMillis,
             Map<String, Integer> inFlight,
             boolean draining) {
-        this(gateway, heardAtMillis, configurationVersion, logOffset, logAgeMillis, inFlight, draining, Map.of());
+        this(gateway, receivedAtMillis, configurationVersion, logOffset, logAgeMillis, inFlight, draining, Map.of());
     }
 
     /**
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Quarantine.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/quarantine/Quarantine.java
@@ -13,7 +13,7 @@
 public interface Quarantine {
 
     /** Returns the restrictions on a request that follow from its past crashes. */
-    QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint);
+    QuarantineStatus status(long nowMillis, RequestFingerprint fingerprint);
 
     /**
      * Returns whether a request may start on a backend server.
@@ -42,7 +42,7 @@
     List<QuarantineObservation> observations(long nowMillis);
 
     /** Updates the state with the observations of a peer. */
-    void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations);
+    void recordReport(long nowMillis, String peer, Collection<QuarantineObservation> observations);
 
     /** Applies the rules of {@link QuarantineState}, whose instances are replaced atomically. */
     final class Default implements Quarantine {
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
+        public QuarantineStatus status(long nowMillis, RequestFingerprint fingerprint) {
             return state.get().status(nowMillis, fingerprint);
         }
 
@@ -66,7 +66,7 @@
 
         @Override
         public void started(long nowMillis, RunId runId, String server) {
-            if (standing(nowMillis, runId.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
+            if (status(nowMillis, runId.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
                 update(before -> before.withRun(runId, server));
             }
         }
@@ -92,7 +92,7 @@
         }
 
         @Override
-        public void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
+        public void recordReport(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
             update(before -> before.withPeer(nowMillis, peer, observations));
         }
 
@@ -111,7 +111,7 @@
         INSTANCE;
 
         @Override
-        public QuarantineStatus standing(long nowMillis, RequestFingerprint fingerprint) {
+        public QuarantineStatus status(long nowMillis, RequestFingerprint fingerprint) {
             return QuarantineStatus.Clear.INSTANCE;
         }
 
@@ -146,7 +146,7 @@
         }
 
         @Override
-        public void heard(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
+        public void recordReport(long nowMillis, String peer, Collection<QuarantineObservation> observations) {
             // No state is kept.
         }
     }
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/OutlierDetection.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/routing/OutlierDetection.java
@@ -57,7 +57,7 @@
     /** The slowness up to which an ejected server is readmitted further. */
     private static final double READMISSION_SLOWNESS = 1.4;
 
-    /** The number of samples needed to judge a server. */
+    /** The number of samples needed to evaluate a server. */
     private static final int MINIMUM_SAMPLES = 3;
 
     /** The largest fraction of servers that may be ejected at the same time. */
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotParts.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/snapshot/SnapshotParts.java
@@ -24,7 +24,7 @@
      * @param throughOffset The offset up to which the snapshot covers the log.
      * @param characters The maximum number of characters in a part.
      */
-    public static List<SnapshotPart> cut(String snapshotId, long throughOffset, String text, int characters) {
+    public static List<SnapshotPart> split(String snapshotId, long throughOffset, String text, int characters) {
         int count = Math.max(1, (text.length() + characters - 1) / characters);
         List<SnapshotPart> parts = new ArrayList<>();
         for (int index = 0; index < count; index++) {
@@ -39,7 +39,7 @@
      *
      * @return The text of the snapshot if this part completes it, otherwise empty.
      */
-    public Optional<String> take(SnapshotPart part) {
+    public Optional<String> add(SnapshotPart part) {
         Map<Integer, SnapshotPart> parts = added.computeIfAbsent(part.snapshotId(), id -> new HashMap<>());
         parts.put(part.index(), part);
         if (parts.size() < part.count()) {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/ApplyResult.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/ApplyResult.java
@@ -8,7 +8,7 @@
 public sealed interface ApplyResult {
 
     /** The decision on a reservation. */
-    record ReservationResult(String reservationId, ReservationDecision verdict) implements ApplyResult {}
+    record ReservationResult(String reservationId, ReservationDecision decision) implements ApplyResult {}
 
     /**
      * The result of an operator's release of an idempotency key.
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/LogState.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/state/LogState.java
@@ -156,8 +156,8 @@
         } else if (record instanceof LogRecord.LeaseRelease release) {
             lease = lease.apply(release);
         } else if (record instanceof LogRecord.Reservation reservation) {
-            ReservationDecision verdict = reservations.reserve(offset, logTimeMillis, reservation);
-            results.add(new ApplyResult.ReservationResult(reservation.reservationId(), verdict));
+            ReservationDecision decision = reservations.reserve(offset, logTimeMillis, reservation);
+            results.add(new ApplyResult.ReservationResult(reservation.reservationId(), decision));
         } else if (record instanceof LogRecord.ReservationOutcome outcome) {
             reservations.record(outcome);
         } else if (record instanceof LogRecord.ReservationRelease release) {
--- a/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageCopies.java
+++ b/cranberrygauge-decision/src/main/java/org/cranberrygauge/decision/usage/UsageCopies.java
@@ -40,10 +40,10 @@
     }
 
     /** Records a report of a gateway. */
-    public synchronized void heard(long nowMillis, String gateway) {
+    public synchronized void recordReport(long nowMillis, String gateway) {
         HeldCopy held = byGateway.get(gateway);
         if (held != null) {
-            held.heardAtMillis = nowMillis;
+            held.lastReportMillis = nowMillis;
         }
     }
 
@@ -62,7 +62,7 @@
             return false;
         }
         HeldCopy target = byGateway.computeIfAbsent(copy.gateway(), name -> new HeldCopy());
-        target.heardAtMillis = nowMillis;
+        target.lastReportMillis = nowMillis;
         target.sequence = Math.max(target.sequence, copy.sequence());
         copy.totals().forEach((key, figures) -> target.totals.merge(key, figures, UsageFigures::maximum));
         return true;
@@ -86,7 +86,7 @@
                 iterator.remove();
                 continue;
             }
-            boolean silent = nowMillis - held.heardAtMillis > silenceMillis;
+            boolean silent = nowMillis - held.lastReportMillis > silenceMillis;
             if (silent || !members.contains(entry.getKey())) {
                 due.add(new UsageDelta(entry.getKey(), held.sequence, held.totals));
             }
@@ -114,7 +114,7 @@
         private final Map<UsageKey, UsageFigures> totals = new HashMap<>();
 
         /** The monotonic time of the last report in milliseconds. */
-        private long heardAtMillis;
+        private long lastReportMillis;
 
         /** The highest sequence number of the merged copies. */
         private long sequence;
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/TieredAdmissionQueueTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/admission/TieredAdmissionQueueTest.java
@@ -111,7 +111,8 @@
 
     @Test
     void in_the_order_of_arrival_a_customer_with_few_requests_waits_behind_one_that_has_many() {
-        assertThat(startsOfSmallCustomer(AdmissionPolicy.standard().withLines(CustomerQueues.FirstInFirstOut::new)))
+        assertThat(startsOfSmallCustomer(
+                        AdmissionPolicy.standard().withCustomerQueues(CustomerQueues.FirstInFirstOut::new)))
                 .isZero();
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/AdmissionFreshnessTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/AdmissionFreshnessTest.java
@@ -79,7 +79,7 @@
         return new AdmissionFreshness.View(lastLogEnd, FRESHNESS_MILLIS, 5, 50, member, others, List.of(peers));
     }
 
-    private static PeerReport peer(long heardAt, long version, long offset, long logAge, boolean draining) {
-        return new PeerReport("peer", heardAt, version, offset, logAge, Map.of(), draining);
+    private static PeerReport peer(long receivedAt, long version, long offset, long logAge, boolean draining) {
+        return new PeerReport("peer", receivedAt, version, offset, logAge, Map.of(), draining);
     }
 }
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
@@ -31,7 +31,7 @@
     void a_host_that_is_still_heard_is_not_gone() {
         read(0, 1_000, List.of("host-1", "host-2"));
         read(1_000, 12_500, List.of("host-1"));
-        tracker.heard(12_000, "host-2");
+        tracker.recordReport(12_000, "host-2");
 
         assertThat(DETECTOR.decide(12_500, members, tracker.of(12_500, members)))
                 .isEmpty();
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/quarantine/QuarantineStateTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/quarantine/QuarantineStateTest.java
@@ -119,7 +119,7 @@
         disabled.crashed(100, POISON, "a", 50);
         disabled.crashed(200, POISON, "b", 150);
 
-        assertThat(disabled.standing(200, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
+        assertThat(disabled.status(200, POISON)).isEqualTo(QuarantineStatus.Clear.INSTANCE);
         assertThat(disabled.mayStart(200, POISON, "c", 1)).isTrue();
     }
 
--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/snapshot/SnapshotTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/snapshot/SnapshotTest.java
@@ -52,17 +52,17 @@
 
     @Test
     void parts_of_two_snapshots_are_not_mixed_and_duplicate_parts_are_harmless() {
-        List<SnapshotPart> first = SnapshotParts.cut("first", 10, "abcdefg", 3);
-        List<SnapshotPart> second = SnapshotParts.cut("second", 20, "ABCDEFG", 3);
+        List<SnapshotPart> first = SnapshotParts.split("first", 10, "abcdefg", 3);
+        List<SnapshotPart> second = SnapshotParts.split("second", 20, "ABCDEFG", 3);
         SnapshotParts parts = new SnapshotParts();
 
-        assertThat(parts.take(first.get(0))).isEmpty();
-        assertThat(parts.take(second.get(2))).isEmpty();
-        assertThat(parts.take(first.get(2))).isEmpty();
-        assertThat(parts.take(first.get(2))).isEmpty();
-        assertThat(parts.take(second.get(0))).isEmpty();
-        assertThat(parts.take(first.get(1))).isEqualTo(Optional.of("abcdefg"));
-        assertThat(parts.take(second.get(1))).isEqualTo(Optional.of("ABCDEFG"));
+        assertThat(parts.add(first.get(0))).isEmpty();
+        assertThat(parts.add(second.get(2))).isEmpty();
+        assertThat(parts.add(first.get(2))).isEmpty();
+        assertThat(parts.add(first.get(2))).isEmpty();
+        assertThat(parts.add(second.get(0))).isEmpty();
+        assertThat(parts.add(first.get(1))).isEqualTo(Optional.of("abcdefg"));
+        assertThat(parts.add(second.get(1))).isEqualTo(Optional.of("ABCDEFG"));
     }
 
     @Test
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStream.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/EngineStream.java
@@ -25,7 +25,7 @@
 
     private final int promptTokens;
 
-    /** The position of the next token in the whole answer; a resumed request does not start at 0. */
+    /** The position of the next token in the complete answer; a resumed request does not start at 0. */
     private int position;
 
     /** The number of tokens generated for this request, without those delivered before it was resumed. */
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/TokenText.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/engine/TokenText.java
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns the text of a whole answer.
+     * Returns the text of a complete answer.
      *
      * @param promptDigest The short digest of the prompt.
      * @param count The number of tokens.
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ProfileGenerator.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/ProfileGenerator.java
@@ -111,13 +111,13 @@
             }
         }
         if (profile == TraceProfile.CUSTOMER_FLOOD) {
-            Customer flooding = flooding();
+            Customer floodingCustomer = floodingCustomer();
             addChats(
                     requests,
                     profile,
                     chatClasses.get(0),
                     SHAPES.get(0),
-                    List.of(flooding),
+                    List.of(floodingCustomer),
                     new Phase(FLOOD_LOAD, EVENT_FROM_MILLIS, EVENT_UNTIL_MILLIS),
                     random);
         }
@@ -129,7 +129,7 @@
     /**
      * Returns the customer that floods in {@link TraceProfile#CUSTOMER_FLOOD}: the last one of the highest chat tier.
      */
-    public Customer flooding() {
+    public Customer floodingCustomer() {
         List<Customer> customers = customersOf(chatClasses.get(0).name());
         return customers.get(customers.size() - 1);
     }
--- a/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceFault.java
+++ b/cranberrygauge-emulator/src/main/java/org/cranberrygauge/emulator/replay/TraceFault.java
@@ -33,7 +33,7 @@
      *
      * @param atMillis The time since the start of the trace in milliseconds.
      */
-    public boolean isOnAt(long atMillis) {
+    public boolean isActiveAt(long atMillis) {
         return atMillis >= fromMillis && atMillis < untilMillis;
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/Gateway.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/Gateway.java
@@ -42,13 +42,13 @@
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.record.LogRecord;
 import org.cranberrygauge.protocol.generated.GatewayReport;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.event.EventRingBuffer;
 import org.cranberrygauge.runtime.lifecycle.Program;
 import org.cranberrygauge.runtime.log.LogAppender;
 import org.cranberrygauge.runtime.log.LogFollower;
 import org.cranberrygauge.runtime.platform.HttpPlatform;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -94,7 +94,7 @@
 
     private final String incarnation;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final HttpPlatform platform;
 
@@ -148,11 +148,11 @@
         callerConnections = new IdleConnections(time, settings.callerIdleTimeoutMillis());
         servers = new GatewayServers(vertx, settings, callerConnections, this.events);
         incarnation = Program.incarnation(settings.hostName(), time.wallMillis());
-        processState = new ProcessState(time.monotonicMillis());
+        blackboard = new Blackboard(time.monotonicMillis());
         platform = new HttpPlatform(vertx, settings.platformAddress(), settings.platformTimeoutMillis());
-        follower = new LogFollower(vertx, platform, processState, time, this.events);
+        follower = new LogFollower(vertx, platform, blackboard, time, this.events);
         appender = new LogAppender(vertx, platform, incarnation);
-        backends = new BackendTableUpdater(processState, settings.hostName());
+        backends = new BackendTableUpdater(blackboard, settings.hostName());
         scheduler = new Scheduler(DispatchPolicy.standard(), backends, time, new Random(), this::onEjection);
         usage = new UsageCounter(incarnation);
         usageAppender = new UsageAppender(vertx, usage, appender);
@@ -163,7 +163,7 @@
                 time,
                 this.events);
         gate = new AdmissionGate(
-                processState, AdmissionFreshness.Default.INSTANCE, time, settings.hostName(), incarnation);
+                blackboard, AdmissionFreshness.Default.INSTANCE, time, settings.hostName(), incarnation);
     }
 
     /** Starts the gateway and completes once it is listening. */
@@ -173,7 +173,7 @@
         follower.addListener(reservations::accept);
         follower.addListener(this::onApplyResult);
         service = new ExchangeService(
-                processState,
+                blackboard,
                 follower,
                 this::ownReport,
                 usageReplicator,
@@ -191,7 +191,7 @@
                 service,
                 this::ownReport,
                 usageReplicator,
-                processState,
+                blackboard,
                 follower,
                 time);
         follower.start();
@@ -249,7 +249,7 @@
 
     /** Joins again if this gateway is not a member and none of its records is pending. */
     private void joinIfMissing() {
-        boolean missing = !processState.log().members().contains(incarnation);
+        boolean missing = !blackboard.log().members().contains(incarnation);
         if (missing && appender.backlog() == 0 && !gate.isDraining()) {
             join();
         }
@@ -269,7 +269,7 @@
         vertx.setPeriodic(REFRESH_MILLIS, timer -> joinIfMissing());
         vertx.setPeriodic(TICK_MILLIS, timer -> scheduler.tick());
         vertx.setPeriodic(REFRESH_MILLIS, timer -> callerConnections.closeIdle());
-        vertx.setPeriodic(REFRESH_MILLIS, timer -> platform.backendServers().thenAccept(processState::publish));
+        vertx.setPeriodic(REFRESH_MILLIS, timer -> platform.backendServers().thenAccept(blackboard::publish));
         vertx.setPeriodic(settings.usageIntervalMillis(), timer -> {
             usageAppender.appendIfDue();
             follower.onContext(usageReplicator::appendDue);
@@ -297,9 +297,9 @@
                 activeCalls,
                 time,
                 incarnation);
-        CallerHandler callers = new CallerHandler(vertx, settings, dependencies, processState, gate, callerConnections);
+        CallerHandler callers = new CallerHandler(vertx, settings, dependencies, blackboard, gate, callerConnections);
         OperationsHandler operations =
-                new OperationsHandler(registry, gate, processState, recentEvents, usageReplicator, incarnation);
+                new OperationsHandler(registry, gate, blackboard, recentEvents, usageReplicator, incarnation);
         return servers.listen(callers, operations)
                 .onSuccess(done -> events.emit(new GatewayEvents.GatewayListening(
                         incarnation, callerPort(), operationsPort(), exchangeServer.port())));
@@ -308,8 +308,8 @@
     private void onApplyResult(ApplyResult result) {
         if (result instanceof ApplyResult.ChangeResult change
                 && change.verdict() == ConfigurationState.Verdict.ACCEPTED) {
-            scheduler.configure(processState.configuration().classes());
-            activeCalls.abortWithdrawn(processState.log().keys());
+            scheduler.configure(blackboard.configuration().classes());
+            activeCalls.abortWithdrawn(blackboard.log().keys());
         }
     }
 
@@ -322,9 +322,9 @@
         GatewayReport report = new GatewayReport(
                 incarnation,
                 settings.hostName(),
-                processState.log().configuration().current().version(),
-                processState.position().offset(),
-                time.monotonicMillis() - processState.position().endReadAtMillis(),
+                blackboard.log().configuration().current().version(),
+                blackboard.position().offset(),
+                time.monotonicMillis() - blackboard.position().endReadAtMillis(),
                 scheduler.inFlight(),
                 scheduler.waiting(),
                 gate.isDraining());
@@ -336,8 +336,8 @@
         long fromMillis = time.monotonicMillis() - PEER_EXPIRY_MILLIS;
         return Stream.concat(
                         Stream.of(incarnation),
-                        processState.peers().values().stream()
-                                .filter(peer -> peer.heardAtMillis() >= fromMillis)
+                        blackboard.peers().values().stream()
+                                .filter(peer -> peer.receivedAtMillis() >= fromMillis)
                                 .map(PeerReport::gateway))
                 .toList();
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/QuarantineEnforcer.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/call/QuarantineEnforcer.java
@@ -64,8 +64,8 @@
      * its "not run" flag if the request has been sent.
      */
     Optional<RequestFailure> refusal(RequestFingerprint fingerprint) {
-        QuarantineStatus standing = quarantine.standing(time.monotonicMillis(), fingerprint);
-        if (standing instanceof QuarantineStatus.Quarantined quarantined) {
+        QuarantineStatus status = quarantine.status(time.monotonicMillis(), fingerprint);
+        if (status instanceof QuarantineStatus.Quarantined quarantined) {
             return Optional.of(RequestFailure.notRun(
                             ErrorCode.QUARANTINED,
                             "backend servers crashed while running this request; it is quarantined")
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Returns the rule by which a request may start on a backend server, which follows the standing of the request.
+     * Returns the rule by which a request may start on a backend server, which follows the status of the request.
      *
      * @param submittedAtMillis The monotonic time at which the request was queued in milliseconds.
      */
@@ -84,7 +84,7 @@
 
             @Override
             public boolean isRestricted() {
-                return quarantine.standing(time.monotonicMillis(), fingerprint) != QuarantineStatus.Clear.INSTANCE;
+                return quarantine.status(time.monotonicMillis(), fingerprint) != QuarantineStatus.Clear.INSTANCE;
             }
 
             @Override
@@ -99,7 +99,7 @@
     /** Records the start of a run if the request is a suspect, and notifies the peers at once. */
     void started(RunId run, BackendServer server) {
         long nowMillis = time.monotonicMillis();
-        if (quarantine.standing(nowMillis, run.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
+        if (quarantine.status(nowMillis, run.fingerprint()) != QuarantineStatus.Clear.INSTANCE) {
             quarantine.started(nowMillis, run, server.name());
             notifyPeers.run();
         }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeService.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/ExchangeService.java
@@ -13,8 +13,8 @@
 import org.cranberrygauge.protocol.generated.LogSlice;
 import org.cranberrygauge.protocol.generated.LogSliceEntry;
 import org.cranberrygauge.protocol.platform.PlatformLog.StoredEntry;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.log.LogFollower;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -24,7 +24,7 @@
  */
 public final class ExchangeService implements GatewayExchange.Iface {
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final LogFollower follower;
 
@@ -47,14 +47,14 @@
      * @param onSuspectsReported Called after a peer reported observations of suspects.
      */
     public ExchangeService(
-            ProcessState processState,
+            Blackboard blackboard,
             LogFollower follower,
             Supplier<GatewayReport> ownReport,
             UsageReplicator usageReplicator,
             TimeSource time,
             Quarantine quarantine,
             Runnable onSuspectsReported) {
-        this.processState = processState;
+        this.blackboard = blackboard;
         this.follower = follower;
         this.ownReport = ownReport;
         this.usageReplicator = usageReplicator;
@@ -83,17 +83,17 @@
         for (StoredEntry entry : follower.retainedAfter(afterOffset, limit)) {
             entries.add(new LogSliceEntry(entry.offset(), entry.appendedAtMillis(), entry.payload()));
         }
-        return new LogSlice(entries, processState.position().offset(), logAgeMillis());
+        return new LogSlice(entries, blackboard.position().offset(), logAgeMillis());
     }
 
     /** Processes the report of a peer. */
     public void receive(GatewayReport report) {
         List<QuarantineObservation> observations = ObservationCodec.read(report.getQuarantined());
-        quarantine.heard(time.monotonicMillis(), report.getGateway(), observations);
+        quarantine.recordReport(time.monotonicMillis(), report.getGateway(), observations);
         if (!observations.isEmpty()) {
             onSuspectsReported.run();
         }
-        processState
+        blackboard
                 .peers()
                 .put(
                         report.getHost(),
@@ -114,6 +114,6 @@
     }
 
     private long logAgeMillis() {
-        return time.monotonicMillis() - processState.position().endReadAtMillis();
+        return time.monotonicMillis() - blackboard.position().endReadAtMillis();
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerClient.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerClient.java
@@ -14,9 +14,9 @@
 import org.cranberrygauge.protocol.generated.GatewayReport;
 import org.cranberrygauge.protocol.generated.LogSlice;
 import org.cranberrygauge.protocol.platform.PlatformLog.StoredEntry;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.blackboard.LogPosition;
 import org.cranberrygauge.runtime.log.LogFollower;
-import org.cranberrygauge.runtime.state.LogPosition;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -40,7 +40,7 @@
 
     private final UsageReplicator usageReplicator;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final LogFollower follower;
 
@@ -57,14 +57,14 @@
             ExchangeService service,
             Supplier<GatewayReport> ownReport,
             UsageReplicator usageReplicator,
-            ProcessState processState,
+            Blackboard blackboard,
             LogFollower follower,
             TimeSource time) {
         this.address = address;
         this.service = service;
         this.ownReport = ownReport;
         this.usageReplicator = usageReplicator;
-        this.processState = processState;
+        this.blackboard = blackboard;
         this.follower = follower;
         this.time = time;
     }
@@ -80,7 +80,7 @@
             GatewayReport answer = client.exchange(report);
             usageReplicator.acknowledged(address.toString(), copy);
             service.receive(answer);
-            if (answer.getLogOffset() > processState.position().offset()) {
+            if (answer.getLogOffset() > blackboard.position().offset()) {
                 readFromPeer();
             } else {
                 adoptPeerFreshness(time.monotonicMillis(), answer.getLogOffset(), answer.getLogAgeMillis());
@@ -92,7 +92,7 @@
     }
 
     private void readFromPeer() throws TException {
-        LogSlice slice = client.readLog(processState.position().offset(), MAX_ENTRIES_PER_READ);
+        LogSlice slice = client.readLog(blackboard.position().offset(), MAX_ENTRIES_PER_READ);
         List<StoredEntry> entries = slice.getEntries().stream()
                 .map(entry -> new StoredEntry(entry.getOffset(), entry.getAppendedAtMillis(), entry.getPayload()))
                 .toList();
@@ -108,10 +108,10 @@
      * @param peerAgeMillis The time since the peer read the end of the log in milliseconds.
      */
     private void adoptPeerFreshness(long nowMillis, long peerOffset, long peerAgeMillis) {
-        LogPosition position = processState.position();
+        LogPosition position = blackboard.position();
         long readAtMillis = nowMillis - peerAgeMillis - TIMEOUT_MILLIS;
         if (position.offset() >= peerOffset && readAtMillis > position.endReadAtMillis()) {
-            processState.publish(new LogPosition(position.offset(), readAtMillis));
+            blackboard.publish(new LogPosition(position.offset(), readAtMillis));
         }
     }
 
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerExchange.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/exchange/PeerExchange.java
@@ -10,8 +10,8 @@
 import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.protocol.generated.GatewayReport;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.log.LogFollower;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -43,11 +43,11 @@
             ExchangeService service,
             Supplier<GatewayReport> ownReport,
             UsageReplicator usageReplicator,
-            ProcessState processState,
+            Blackboard blackboard,
             LogFollower follower,
             TimeSource time) {
         this.intervalMillis = intervalMillis;
-        this.factory = peer -> new PeerClient(peer, service, ownReport, usageReplicator, processState, follower, time);
+        this.factory = peer -> new PeerClient(peer, service, ownReport, usageReplicator, blackboard, follower, time);
         peers.forEach(this::add);
     }
 
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/AdmissionGate.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/AdmissionGate.java
@@ -4,7 +4,7 @@
 import org.cranberrygauge.decision.membership.Membership;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
-import org.cranberrygauge.runtime.state.ProcessState;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -14,7 +14,7 @@
  */
 public final class AdmissionGate {
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final AdmissionFreshness freshness;
 
@@ -28,8 +28,8 @@
     private volatile boolean draining;
 
     public AdmissionGate(
-            ProcessState processState, AdmissionFreshness freshness, TimeSource time, String host, String gateway) {
-        this.processState = processState;
+            Blackboard blackboard, AdmissionFreshness freshness, TimeSource time, String host, String gateway) {
+        this.blackboard = blackboard;
         this.freshness = freshness;
         this.time = time;
         this.host = host;
@@ -56,7 +56,7 @@
         if (draining) {
             throw new CranberrygaugeException(ErrorCode.NOT_ADMITTING, "this gateway is shutting down");
         }
-        if (processState.log().configuration().current().version() == 0) {
+        if (blackboard.log().configuration().current().version() == 0) {
             throw new CranberrygaugeException(ErrorCode.NOT_ADMITTING, "this gateway has no configuration yet");
         }
         if (!freshness.mayAdmit(time.monotonicMillis(), view())) {
@@ -67,17 +67,17 @@
     }
 
     private AdmissionFreshness.View view() {
-        Membership members = processState.log().members();
+        Membership members = blackboard.log().members();
         long others = members.all().stream()
                 .filter(member -> !member.host().equals(host))
                 .count();
         return new AdmissionFreshness.View(
-                processState.position().endReadAtMillis(),
-                processState.configuration().times().freshnessMillis(),
-                processState.log().configuration().current().version(),
-                processState.position().offset(),
+                blackboard.position().endReadAtMillis(),
+                blackboard.configuration().times().freshnessMillis(),
+                blackboard.log().configuration().current().version(),
+                blackboard.position().offset(),
                 members.contains(gateway),
                 (int) others,
-                processState.peers().values());
+                blackboard.peers().values());
     }
 }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/Authenticator.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/Authenticator.java
@@ -11,8 +11,8 @@
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.model.error.ErrorCode;
 import org.cranberrygauge.model.service.ServiceClass;
-import org.cranberrygauge.runtime.state.LogDerivedState;
-import org.cranberrygauge.runtime.state.ProcessState;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.blackboard.LogDerivedState;
 
 /**
  * Determines the customer and service class of a request.
@@ -27,10 +27,10 @@
 
     private static final String BEARER = "Bearer ";
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
-    Authenticator(ProcessState processState) {
-        this.processState = processState;
+    Authenticator(Blackboard blackboard) {
+        this.blackboard = blackboard;
     }
 
     /** Returns the bearer token of a request, or nothing. */
@@ -51,7 +51,7 @@
         String key = key(request)
                 .orElseThrow(() -> new CranberrygaugeException(
                         ErrorCode.INVALID_KEY, "a key is required as Authorization: Bearer KEY"));
-        return processState
+        return blackboard
                 .log()
                 .keys()
                 .owner(KeyDigest.of(key))
@@ -68,7 +68,7 @@
      */
     Caller caller(HttpServerRequest request) throws CranberrygaugeException {
         Customer customer = customer(request);
-        LogDerivedState logState = processState.log();
+        LogDerivedState logState = blackboard.log();
         Configuration configuration = logState.configuration().current().configuration();
         String wanted = request.getHeader(CLASS_HEADER);
         ServiceClass chosen = configuration.classes().stream()
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/CallerHandler.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/CallerHandler.java
@@ -36,7 +36,7 @@
 import org.cranberrygauge.model.service.Repetition;
 import org.cranberrygauge.model.service.ServiceClass;
 import org.cranberrygauge.model.service.ServiceRoute;
-import org.cranberrygauge.runtime.state.ProcessState;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 
 /**
  * Serves the requests of callers.
@@ -68,7 +68,7 @@
 
     private final CallDependencies dependencies;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final AdmissionGate gate;
 
@@ -83,16 +83,16 @@
             Vertx vertx,
             GatewaySettings settings,
             CallDependencies dependencies,
-            ProcessState processState,
+            Blackboard blackboard,
             AdmissionGate gate,
             IdleConnections connections) {
         this.connections = connections;
         this.vertx = vertx;
         this.settings = settings;
         this.dependencies = dependencies;
-        this.processState = processState;
+        this.blackboard = blackboard;
         this.gate = gate;
-        this.authenticator = new Authenticator(processState);
+        this.authenticator = new Authenticator(blackboard);
     }
 
     @Override
@@ -155,7 +155,7 @@
             throw new CranberrygaugeException(
                     ErrorCode.INVALID_REQUEST, "the key must be sent in the Authorization header only");
         }
-        if (!processState.configuration().models().contains(chat.model())) {
+        if (!blackboard.configuration().models().contains(chat.model())) {
             throw new CranberrygaugeException(ErrorCode.NOT_FOUND, "no such model");
         }
         new ChatCall(dependencies, caller, chat, reply, requestNumber).begin();
@@ -186,7 +186,7 @@
      * @throws CranberrygaugeException If the key is not valid or does not allow the class of the route.
      */
     private Caller serviceCaller(HttpServerRequest request, ServiceRoute route) throws CranberrygaugeException {
-        Configuration configuration = processState.configuration();
+        Configuration configuration = blackboard.configuration();
         ServiceClass serviceClass = configuration
                 .serviceClass(route.className())
                 .orElseThrow(() -> new CranberrygaugeException(
@@ -205,7 +205,7 @@
     /** Returns the route with the longest matching prefix. */
     private ServiceRoute route(String method, String path) throws CranberrygaugeException {
         ServiceRoute best = null;
-        for (ServiceRoute route : processState.configuration().routes()) {
+        for (ServiceRoute route : blackboard.configuration().routes()) {
             boolean matches = route.method().equals(method)
                     && (path.equals(route.pathPrefix()) || path.startsWith(route.pathPrefix() + "/"));
             if (matches
@@ -244,7 +244,7 @@
 
     private Buffer models() {
         JsonArray data = new JsonArray();
-        for (String model : processState.configuration().models()) {
+        for (String model : blackboard.configuration().models()) {
             data.add(new JsonObject().put("id", model).put("object", "model").put("owned_by", "cranberrygauge"));
         }
         return new JsonObject().put("object", "list").put("data", data).toBuffer();
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/OperationsHandler.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/http/OperationsHandler.java
@@ -7,9 +7,9 @@
 import org.cranberrygauge.gateway.usage.UsageReplicator;
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.protocol.JsonCodec;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventRingBuffer;
 import org.cranberrygauge.runtime.metrics.MetricsEndpoint;
-import org.cranberrygauge.runtime.state.ProcessState;
 
 /**
  * Serves the operations endpoints: health, metrics, state and recent decisions.
@@ -29,7 +29,7 @@
 
     private final AdmissionGate gate;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final EventRingBuffer recentEvents;
 
@@ -40,13 +40,13 @@
     public OperationsHandler(
             PrometheusRegistry registry,
             AdmissionGate gate,
-            ProcessState processState,
+            Blackboard blackboard,
             EventRingBuffer recentEvents,
             UsageReplicator usageReplicator,
             String gateway) {
         this.metrics = new MetricsEndpoint(registry);
         this.gate = gate;
-        this.processState = processState;
+        this.blackboard = blackboard;
         this.recentEvents = recentEvents;
         this.usageReplicator = usageReplicator;
         this.gateway = gateway;
@@ -87,10 +87,10 @@
                 .put("gateway", gateway)
                 .put(
                         "configuration_version",
-                        processState.log().configuration().current().version())
-                .put("log_offset", processState.position().offset())
-                .put("lease_holder", processState.log().lease().holder())
-                .put("fencing_number", processState.log().lease().fencingNumber())
+                        blackboard.log().configuration().current().version())
+                .put("log_offset", blackboard.position().offset())
+                .put("lease_holder", blackboard.log().lease().holder())
+                .put("fencing_number", blackboard.log().lease().fencingNumber())
                 .put("held_usage_calls", usageReplicator.heldCalls())
                 .put("draining", gate.isDraining());
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/reservation/ReservationManager.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/reservation/ReservationManager.java
@@ -69,7 +69,7 @@
         if (result instanceof ApplyResult.ReservationResult reservationResult) {
             Promise<ReservationDecision> promise = waiting.remove(reservationResult.reservationId());
             if (promise != null) {
-                promise.complete(reservationResult.verdict());
+                promise.complete(reservationResult.decision());
             }
         }
     }
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/BackendTableUpdater.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/schedule/BackendTableUpdater.java
@@ -15,7 +15,7 @@
 import org.cranberrygauge.model.backend.BackendServer;
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
-import org.cranberrygauge.runtime.state.ProcessState;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 
 /**
  * Transfers the known state of backend servers and peers to the table that requests are dispatched by.
@@ -28,7 +28,7 @@
     /** The age at which a peer's in-flight counts are discarded in milliseconds. */
     private static final long PEER_EXPIRY_MILLIS = 2_000;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final String host;
 
@@ -41,8 +41,8 @@
     /** The configured and listed backend servers; replaced as a whole. */
     private volatile List<BackendServer> servers = List.of();
 
-    public BackendTableUpdater(ProcessState processState, String host) {
-        this.processState = processState;
+    public BackendTableUpdater(Blackboard blackboard, String host) {
+        this.blackboard = blackboard;
         this.host = host;
     }
 
@@ -78,14 +78,14 @@
      * @param ownWaiting The number of requests queued at this gateway.
      */
     public void refresh(long nowMillis, BackendTable table, int ownWaiting) {
-        DrainState drains = processState.log().drains();
+        DrainState drains = blackboard.log().drains();
         Map<String, BackendServer> known = new LinkedHashMap<>();
         Map<String, Boolean> available = new HashMap<>();
-        for (BackendServer server : processState.configuration().backendServers()) {
+        for (BackendServer server : blackboard.configuration().backendServers()) {
             known.put(server.name(), server);
             available.put(server.name(), !drains.isDrained(server.name()));
         }
-        for (ListedBackendServer listed : processState.listed()) {
+        for (ListedBackendServer listed : blackboard.listedBackendServers()) {
             String name = listed.server().name();
             known.put(name, listed.server());
             available.put(name, listed.state() == HostState.LIVE && !drains.isDrained(name));
@@ -104,9 +104,9 @@
         TreeMap<String, Double> demands = new TreeMap<>();
         int own = table.inFlight().values().stream().mapToInt(Integer::intValue).sum();
         demands.put(host, (double) (own + ownWaiting));
-        for (Map.Entry<String, PeerReport> peer : processState.peers().entrySet()) {
+        for (Map.Entry<String, PeerReport> peer : blackboard.peers().entrySet()) {
             PeerReport report = peer.getValue();
-            boolean fresh = nowMillis - report.heardAtMillis() <= PEER_EXPIRY_MILLIS;
+            boolean fresh = nowMillis - report.receivedAtMillis() <= PEER_EXPIRY_MILLIS;
             if (fresh && !peer.getKey().equals(host)) {
                 report.inFlight().forEach((server, count) -> others.merge(server, count, Integer::sum));
                 demands.put(peer.getKey(), report.demand());
--- a/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageReplicator.java
+++ b/cranberrygauge-gateway/src/main/java/org/cranberrygauge/gateway/usage/UsageReplicator.java
@@ -103,7 +103,7 @@
      */
     public boolean receive(GatewayReport report) {
         long nowMillis = time.monotonicMillis();
-        copies.heard(nowMillis, report.getGateway());
+        copies.recordReport(nowMillis, report.getGateway());
         if (!report.isSetUsageCopy()) {
             return true;
         }
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/GenerateCommand.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/command/GenerateCommand.java
@@ -42,19 +42,22 @@
     public ExitStatus run(PrintStream printer) throws CranberrygaugeException {
         Questionnaire answers = YamlFileReader.read(questionnaire, Questionnaire.class);
         ConfigurationGenerator generator = new ConfigurationGenerator(new KeySource.Secure());
+        Path file = before;
         try {
             Configuration kept = before == null
                     ? Configuration.empty()
                     : JsonCodec.read(Files.readString(before), Configuration.class);
             Configuration configuration = generator.generate(answers, kept);
             Map<String, String> keys = new TreeMap<>(generator.newKeys());
+            file = output;
             Files.writeString(output, JsonCodec.write(configuration) + "\n");
+            file = keysOutput;
             Files.writeString(keysOutput, JsonCodec.write(keys) + "\n");
             printer.println("generated " + output + " with " + keys.size() + " new keys in " + keysOutput);
             return ExitStatus.DONE;
         } catch (IOException exception) {
             throw new CranberrygaugeException(
-                    ErrorCode.INVALID_CONFIGURATION, "a file can't be read or written: " + exception, exception);
+                    ErrorCode.INVALID_CONFIGURATION, "cannot read or write file " + file + ": " + exception, exception);
         }
     }
 
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/ChangeApplier.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/log/ChangeApplier.java
@@ -107,7 +107,7 @@
             return List.of("unknown gateways, because " + exception.getMessage());
         }
         for (GatewayMember member : state.members().all()) {
-            boolean confirmed = GatewayStatusClient.ask(member)
+            boolean confirmed = GatewayStatusClient.fetchReport(member)
                     .filter(report -> report.getConfigurationVersion() >= version)
                     .isPresent();
             if (!confirmed) {
--- a/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/StatusView.java
+++ b/cranberrygauge-operator/src/main/java/org/cranberrygauge/operator/view/StatusView.java
@@ -181,7 +181,7 @@
     }
 
     private static GatewayLine line(GatewayMember member) {
-        return GatewayStatusClient.ask(member)
+        return GatewayStatusClient.fetchReport(member)
                 .map(report -> new GatewayLine(
                         member.host(),
                         member.dataCentre(),
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/Proxy.java
@@ -27,7 +27,7 @@
 import org.cranberrygauge.proxy.exchange.IngressServer;
 import org.cranberrygauge.proxy.exchange.PoolRetryBudgets;
 import org.cranberrygauge.proxy.exchange.PoolWaitQueues;
-import org.cranberrygauge.proxy.exchange.ProxyState;
+import org.cranberrygauge.proxy.exchange.ProxyBlackboard;
 import org.cranberrygauge.proxy.exchange.StatusServer;
 import org.cranberrygauge.proxy.leader.JumpTolerantTimeSource;
 import org.cranberrygauge.proxy.leader.UsageCounter;
@@ -41,7 +41,8 @@
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
- * One proxy process. Requests run on one event loop and the controllers on another; both share the {@link ProxyState}.
+ * One proxy process. Requests run on one event loop and the controllers on another; both share the
+ * {@link ProxyBlackboard}.
  * Thread-safe.
  */
 public final class Proxy {
@@ -68,7 +69,7 @@
 
     private final EventLog events;
 
-    private final ProxyState state = new ProxyState();
+    private final ProxyBlackboard blackboard = new ProxyBlackboard();
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
@@ -115,9 +116,9 @@
      * recent enough to honour keys.
      */
     public boolean ready() {
-        ConfigurationView view = state.configuration();
-        return !state.draining()
-                && state.backends().known()
+        ConfigurationView view = blackboard.configuration();
+        return !blackboard.draining()
+                && blackboard.backends().known()
                 && view.isFresh(time.monotonicMillis(), time.wallMillis(), maximumKeyAgeMillis());
     }
 
@@ -129,16 +130,16 @@
      */
     public int stop() {
         long startMillis = time.monotonicMillis();
-        state.startDraining(startMillis);
-        events.emit(new ProxyEvents.ProxyDraining(state.active().get()));
+        blackboard.startDraining(startMillis);
+        events.emit(new ProxyEvents.ProxyDraining(blackboard.active().get()));
         controlContext.runOnContext(run -> election.leave());
         DrainWait wait = new DrainWait(startMillis, settings.times().graceMillis());
-        while (!wait.isOver(time.monotonicMillis(), state.active().get())) {
+        while (!wait.isOver(time.monotonicMillis(), blackboard.active().get())) {
             wait.pause();
         }
         controlContext.runOnContext(run -> usageWriter.flush());
         wait.pause();
-        int active = state.active().get();
+        int active = blackboard.active().get();
         events.emit(new ProxyEvents.ProxyStopped(active, time.monotonicMillis() - startMillis));
         return active;
     }
@@ -146,7 +147,7 @@
     private Future<Void> startControllers(
             AtomicReference<Map<String, Work>> ownWork, CrashTracker crashes, UsageCounter usage) {
         ProxySettings.Times times = settings.times();
-        ControllerContext context = new ControllerContext(vertx, time, dependencies.log(), state, events);
+        ControllerContext context = new ControllerContext(vertx, time, dependencies.log(), blackboard, events);
         String incarnation = Program.incarnation(settings.host(), time.wallMillis());
         HostNetwork network = HostNetwork.of(context, settings, dependencies.hostTopic());
         new ConfigurationFollower(
@@ -166,7 +167,8 @@
                 .start();
         election = new LeaderElection(context, network.relay(), incarnation, times.leaseMillis());
         election.start();
-        ControllerContext usageContext = new ControllerContext(vertx, usageTime, dependencies.log(), state, events);
+        ControllerContext usageContext =
+                new ControllerContext(vertx, usageTime, dependencies.log(), blackboard, events);
         usageWriter = new UsageCountWriter(usageContext, network, usage, incarnation);
         usageWriter.start();
         new UsageReportController(usageContext, election, dependencies.controlPlane(), times.usageWindowMillis())
@@ -186,7 +188,7 @@
         ExchangeContext context = new ExchangeContext(
                 vertx,
                 time,
-                state,
+                blackboard,
                 new BackendClient(vertx),
                 dependencies.codec(),
                 new BackendChooser(settings.dataCentre(), loads, new SplittableRandom()),
@@ -204,7 +206,7 @@
         vertx.setPeriodic(PUBLISH_INTERVAL_MILLIS, fired -> {
             placements.applyTo(loads);
             ownWork.set(loads.work());
-            loads.removeUnlisted(state.backends());
+            loads.removeUnlisted(blackboard.backends());
             publishMetrics(hostMetrics, queues.size());
         });
         return new IngressServer(vertx, new CallerHandler(context, admission))
@@ -215,13 +217,13 @@
 
     /** Updates the metrics of the host's state. */
     private void publishMetrics(HostMetrics metrics, int waitingRequests) {
-        ConfigurationView view = state.configuration();
-        metrics.recordRequests(state.active().get(), waitingRequests);
+        ConfigurationView view = blackboard.configuration();
+        metrics.recordRequests(blackboard.active().get(), waitingRequests);
         metrics.recordState(
                 view.configuration().map(known -> known.version()).orElse(-1L),
                 view.loggedAgeMillis(time.monotonicMillis()),
-                state.backends().all().size(),
-                state.peers().hosts(),
+                blackboard.backends().all().size(),
+                blackboard.peers().hosts(),
                 ready());
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/WaitQueue.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/admission/WaitQueue.java
@@ -55,7 +55,7 @@
         Iterator<Entry<T>> iterator = entries.iterator();
         while (iterator.hasNext()) {
             Entry<T> entry = iterator.next();
-            if (nowMillis >= entry.giveUpMillis()) {
+            if (nowMillis >= entry.expiresAtMillis()) {
                 expired.add(entry.item());
                 iterator.remove();
             }
@@ -77,10 +77,10 @@
      * @param urgency The urgency; 0 is the most urgent.
      * @param onTimeMillis The monotonic time until which the request can start and still meet its target latency, in
      *     milliseconds.
-     * @param giveUpMillis The monotonic time at which the request expires, in milliseconds.
+     * @param expiresAtMillis The monotonic time at which the request expires, in milliseconds.
      * @param <T> The type of the request.
      */
-    public record Entry<T>(T item, int urgency, long onTimeMillis, long giveUpMillis) {
+    public record Entry<T>(T item, int urgency, long onTimeMillis, long expiresAtMillis) {
 
         boolean isOnTime(long nowMillis) {
             return nowMillis <= onTimeMillis;
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/BackendFollower.java
@@ -117,7 +117,7 @@
     /** Publishes the snapshot and logs the changes. */
     private void publish(long now) {
         BackendSnapshot snapshot = registry.snapshot(now);
-        context.state().publish(snapshot);
+        context.blackboard().publish(snapshot);
         Map<String, Backend> present = new HashMap<>();
         for (Backend backend : snapshot.all()) {
             present.put(backend.id(), backend);
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ConfigurationFollower.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ConfigurationFollower.java
@@ -75,7 +75,7 @@
 
     @Override
     public void onConfirmed(Confirmation read) {
-        context.state().publish(context.state().configuration().withConfirmation(read));
+        context.blackboard().publish(context.blackboard().configuration().withConfirmation(read));
     }
 
     /**
@@ -86,13 +86,13 @@
     private void apply(byte[] value, long offset) {
         try {
             ProxyConfiguration read = reader.read(key, value);
-            ConfigurationView view = context.state().configuration();
+            ConfigurationView view = context.blackboard().configuration();
             long currentVersion =
                     view.configuration().map(ProxyConfiguration::version).orElse(Long.MIN_VALUE);
             if (read.version() <= currentVersion) {
                 return;
             }
-            context.state().publish(view.withConfiguration(read));
+            context.blackboard().publish(view.withConfiguration(read));
             context.events().emit(new ControlEvents.ConfigurationInForce(read.version(), offset));
         } catch (UnreadableRecordException exception) {
             context.events().emit(new ControlEvents.RecordUnreadable(topic, key, exception.getMessage()));
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControllerContext.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControllerContext.java
@@ -1,7 +1,7 @@
 package org.cranberrygauge.proxy.control;
 
 import io.vertx.core.Vertx;
-import org.cranberrygauge.proxy.exchange.ProxyState;
+import org.cranberrygauge.proxy.exchange.ProxyBlackboard;
 import org.cranberrygauge.proxy.store.SharedLog;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.time.TimeSource;
@@ -9,6 +9,7 @@
 /**
  * What all controllers use.
  *
- * @param state The host state that controllers publish to the request path.
+ * @param blackboard The host state that controllers publish to the request path.
  */
-public record ControllerContext(Vertx vertx, TimeSource time, SharedLog log, ProxyState state, EventLog events) {}
+public record ControllerContext(
+        Vertx vertx, TimeSource time, SharedLog log, ProxyBlackboard blackboard, EventLog events) {}
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/FleetController.java
@@ -75,7 +75,7 @@
             lastToken = token;
             plans.values().forEach(FleetPlan::beginTerm);
         }
-        context.state()
+        context.blackboard()
                 .configuration()
                 .configuration()
                 .map(ProxyConfiguration::pools)
@@ -89,7 +89,7 @@
         }
         FleetLimits limits = pool.fleet().get();
         long now = context.time().monotonicMillis();
-        List<Backend> ready = context.state().backends().ready(pool.name());
+        List<Backend> ready = context.blackboard().backends().ready(pool.name());
         FleetPlan plan = plans.computeIfAbsent(pool.name(), FleetPlan::new);
         plan.observe(now, limits, ready, demand(pool.name(), ready));
         token.ifPresent(
@@ -125,7 +125,7 @@
         for (Backend backend : ready) {
             Work work = ownWork.get()
                     .getOrDefault(backend.incarnation(), Work.NONE)
-                    .plus(context.state().peers().at(backend.incarnation()));
+                    .plus(context.blackboard().peers().at(backend.incarnation()));
             tokens += work.heldTokens();
             shortRequests += work.shortRunning();
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/PeerReportExchange.java
@@ -127,7 +127,7 @@
         long now = context.time().monotonicMillis();
         network.channel()
                 .send(HostMessage.report(buildReport(now)), network.peers().addresses(now));
-        context.state().publish(network.peers().loads(now));
+        context.blackboard().publish(network.peers().loads(now));
     }
 
     private HostReport buildReport(long now) {
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicRelay.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/TopicRelay.java
@@ -88,7 +88,8 @@
 
     /** Tells whether this host can read for others: it does not drain and no read failed recently. */
     boolean readsLog() {
-        return !context.state().draining() && context.time().monotonicMillis() - lastFailureMillis >= FAILED_MILLIS;
+        return !context.blackboard().draining()
+                && context.time().monotonicMillis() - lastFailureMillis >= FAILED_MILLIS;
     }
 
     /** Returns the host that currently reads and writes for this one, or empty if this host does so by itself. */
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/CallerHandler.java
@@ -46,7 +46,7 @@
     @Override
     public void handle(HttpServerRequest request) {
         long now = context.time().monotonicMillis();
-        if (startupGate.mustWait(now, now, context.state())) {
+        if (startupGate.mustWait(now, now, context.blackboard())) {
             request.pause();
             waitForState(request, now);
             return;
@@ -59,7 +59,7 @@
         if (request.response().closed()) {
             return;
         }
-        if (startupGate.mustWait(context.time().monotonicMillis(), arrivedMillis, context.state())) {
+        if (startupGate.mustWait(context.time().monotonicMillis(), arrivedMillis, context.blackboard())) {
             context.vertx().setTimer(RECHECK_MILLIS, fired -> waitForState(request, arrivedMillis));
             return;
         }
@@ -68,9 +68,9 @@
     }
 
     private void process(HttpServerRequest request, long now) {
-        CallerResponse response = new CallerResponse(request, context.state()::draining);
+        CallerResponse response = new CallerResponse(request, context.blackboard()::draining);
         CallerHeaders callerHeaders = context.codec().decodeCaller(request.headers());
-        ConfigurationView view = context.state().configuration();
+        ConfigurationView view = context.blackboard().configuration();
         String host = request.getHeader("Host");
         if (hasAmbiguousFraming(request.headers())
                 || host == null
@@ -79,7 +79,7 @@
             reject(now, request, response, callerHeaders, RejectReason.BAD_REQUEST);
             return;
         }
-        if (context.state().isClosing(now)) {
+        if (context.blackboard().isClosing(now)) {
             reject(now, request, response, callerHeaders, RejectReason.DRAINING);
             return;
         }
@@ -127,7 +127,7 @@
 
     /** Rejects a malformed request. The connection is closed, since the start of the next request on it is unknown. */
     void handleInvalid(HttpServerRequest request) {
-        CallerResponse response = new CallerResponse(request, context.state()::draining);
+        CallerResponse response = new CallerResponse(request, context.blackboard()::draining);
         response.closeAfterResponse();
         CallerHeaders callerHeaders = context.codec().decodeCaller(request.headers());
         reject(context.time().monotonicMillis(), request, response, callerHeaders, RejectReason.BAD_REQUEST);
@@ -166,7 +166,7 @@
             CallerResponse response,
             CallerHeaders callerHeaders,
             RejectReason reason) {
-        ConfigurationView view = context.state().configuration();
+        ConfigurationView view = context.blackboard().configuration();
         request.exceptionHandler(failure -> {});
         response.reject(reason);
         context.metrics().recordEnd(ABSENT, ABSENT, reason.name());
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/Exchange.java
@@ -74,7 +74,7 @@
     /** Starts the first attempt, or rejects or queues the request. */
     void start() {
         long now = now();
-        context.state().active().incrementAndGet();
+        context.blackboard().active().incrementAndGet();
         response.onDisconnect(this::callerDisconnected);
         if (request.deadlineMillis() <= now) {
             reject(RejectReason.EXPIRED);
@@ -202,7 +202,7 @@
         }
         return context.budgets()
                 .of(request.pool().name())
-                .tryAcquire(now, context.state().peers().hosts());
+                .tryAcquire(now, context.blackboard().peers().hosts());
     }
 
     /**
@@ -236,7 +236,7 @@
         context.queues()
                 .of(request.pool().name())
                 .add(new Entry<>(
-                        this, request.urgency(), request.onTimeMillis() - prefillMillis, request.giveUpMillis()));
+                        this, request.urgency(), request.onTimeMillis() - prefillMillis, request.expiresAtMillis()));
     }
 
     /**
@@ -265,10 +265,10 @@
                 .choose(
                         now,
                         request.pool(),
-                        context.state().backends().ready(request.pool().name()),
+                        context.blackboard().backends().ready(request.pool().name()),
                         tried,
                         request.callerHeaders().prompt(),
-                        context.state().peers());
+                        context.blackboard().peers());
     }
 
     private void send(long now, Choice choice) {
@@ -363,7 +363,7 @@
     private void finish(String outcome, int status) {
         ended = true;
         context.vertx().cancelTimer(deadlineTimer);
-        context.state().active().decrementAndGet();
+        context.blackboard().active().decrementAndGet();
         if (waiting) {
             context.queues().of(request.pool().name()).remove(this);
         }
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeContext.java
@@ -23,7 +23,7 @@
 public record ExchangeContext(
         Vertx vertx,
         TimeSource time,
-        ProxyState state,
+        ProxyBlackboard blackboard,
         BackendClient client,
         HeaderCodec codec,
         BackendChooser chooser,
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyState.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyBlackboard.java
@@ -7,10 +7,10 @@
 import org.cranberrygauge.proxy.routing.PeerLoads;
 
 /**
- * The state of the host, which controllers publish and the request path reads. Each value is immutable and replaced as
- * a whole. Thread-safe.
+ * The blackboard of the host, which controllers write and the request path reads. Each value is immutable and replaced
+ * as a whole. Thread-safe.
  */
-public final class ProxyState {
+public final class ProxyBlackboard {
 
     private final AtomicReference<ConfigurationView> configuration = new AtomicReference<>(ConfigurationView.NONE);
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyRequest.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ProxyRequest.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the monotonic time at which the request expires in the queue, in milliseconds. */
-    public long giveUpMillis() {
+    public long expiresAtMillis() {
         return receivedMillis + (long) ((deadlineMillis - receivedMillis) * QUEUEING_FRACTION);
     }
 
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/StartupGate.java
@@ -17,11 +17,11 @@
      * @param nowMillis The current monotonic time in milliseconds.
      * @param arrivedMillis The monotonic time at which the request arrived, in milliseconds.
      */
-    boolean mustWait(long nowMillis, long arrivedMillis, ProxyState state) {
-        if (state.draining() || nowMillis - arrivedMillis >= MAXIMUM_WAIT_MILLIS) {
+    boolean mustWait(long nowMillis, long arrivedMillis, ProxyBlackboard blackboard) {
+        if (blackboard.draining() || nowMillis - arrivedMillis >= MAXIMUM_WAIT_MILLIS) {
             return false;
         }
-        return state.configuration().configuration().isEmpty()
-                || !state.backends().known();
+        return blackboard.configuration().configuration().isEmpty()
+                || !blackboard.backends().known();
     }
 }
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/HostChannelTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/HostChannelTest.java
@@ -13,7 +13,7 @@
 import org.cranberrygauge.protocol.generated.BackendWork;
 import org.cranberrygauge.protocol.generated.HostMessage;
 import org.cranberrygauge.protocol.generated.HostReport;
-import org.cranberrygauge.proxy.exchange.ProxyState;
+import org.cranberrygauge.proxy.exchange.ProxyBlackboard;
 import org.cranberrygauge.proxy.store.SharedLog;
 import org.cranberrygauge.runtime.event.EventLog;
 import org.cranberrygauge.runtime.time.TimeSource;
@@ -32,7 +32,8 @@
     private final Vertx vertx = Vertx.vertx();
 
     private final HostChannel channel = new HostChannel(
-            new ControllerContext(vertx, TimeSource.System.INSTANCE, NO_LOG, new ProxyState(), EventLog.NoOp.INSTANCE),
+            new ControllerContext(
+                    vertx, TimeSource.System.INSTANCE, NO_LOG, new ProxyBlackboard(), EventLog.NoOp.INSTANCE),
             new NetworkAddress("127.0.0.1", 0));
 
     @AfterEach
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/TopicRelayTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/control/TopicRelayTest.java
@@ -18,7 +18,7 @@
 import org.cranberrygauge.model.backend.NetworkAddress;
 import org.cranberrygauge.protocol.generated.HostMessage;
 import org.cranberrygauge.protocol.generated.HostReport;
-import org.cranberrygauge.proxy.exchange.ProxyState;
+import org.cranberrygauge.proxy.exchange.ProxyBlackboard;
 import org.cranberrygauge.proxy.store.Confirmation;
 import org.cranberrygauge.proxy.store.SharedLog;
 import org.cranberrygauge.proxy.store.SharedLogException;
@@ -157,7 +157,8 @@
         PeerDirectory peers = new PeerDirectory(name, "east");
         peers.update(clock.now, report(other, 1), network.address(other));
         network.directories.put(name, peers);
-        ControllerContext context = new ControllerContext(vertx, clock, log, new ProxyState(), EventLog.NoOp.INSTANCE);
+        ControllerContext context =
+                new ControllerContext(vertx, clock, log, new ProxyBlackboard(), EventLog.NoOp.INSTANCE);
         return new TopicRelay(context, peers, network.transport(name));
     }
 
--- a/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
+++ b/cranberrygauge-proxy/src/test/java/org/cranberrygauge/proxy/exchange/StartupGateTest.java
@@ -15,26 +15,26 @@
 
     private final StartupGate gate = new StartupGate();
 
-    private final ProxyState state = new ProxyState();
+    private final ProxyBlackboard blackboard = new ProxyBlackboard();
 
     @Test
     void aRequestWaitsUntilConfigurationAndBackendServersAreKnown() {
-        assertThat(gate.mustWait(100, 0, state)).isTrue();
-        state.publish(new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(0, 0)));
-        assertThat(gate.mustWait(150, 0, state)).isTrue();
-        state.publish(new BackendSnapshot(List.of(), true));
-        assertThat(gate.mustWait(160, 0, state)).isFalse();
+        assertThat(gate.mustWait(100, 0, blackboard)).isTrue();
+        blackboard.publish(new ConfigurationView(Optional.of(ProxyFixtures.configuration(1)), new Confirmation(0, 0)));
+        assertThat(gate.mustWait(150, 0, blackboard)).isTrue();
+        blackboard.publish(new BackendSnapshot(List.of(), true));
+        assertThat(gate.mustWait(160, 0, blackboard)).isFalse();
     }
 
     @Test
     void aRequestWaitsForABoundedTime() {
-        assertThat(gate.mustWait(399, 0, state)).isTrue();
-        assertThat(gate.mustWait(400, 0, state)).isFalse();
+        assertThat(gate.mustWait(399, 0, blackboard)).isTrue();
+        assertThat(gate.mustWait(400, 0, blackboard)).isFalse();
     }
 
     @Test
     void aRequestDoesNotWaitWhileTheHostDrains() {
-        state.startDraining(0);
-        assertThat(gate.mustWait(1, 0, state)).isFalse();
+        blackboard.startDraining(0);
+        assertThat(gate.mustWait(1, 0, blackboard)).isFalse();
     }
 }
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/ProcessState.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/blackboard/Blackboard.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.runtime.state;
+package org.cranberrygauge.runtime.blackboard;
 
 import java.util.List;
 import java.util.Map;
@@ -9,12 +9,12 @@
 import org.cranberrygauge.model.configuration.Configuration;
 
 /**
- * The state shared by the components of a process, in immutable sections that are replaced as a whole.
+ * The blackboard of a process: the state shared by its components, in immutable sections that are replaced as a whole.
  *
  * <p>Invariants: a reader sees each section exactly as it was published; each section has one writer, except the
  * position in the log, which only increases. Safe for use by several threads without locks.
  */
-public final class ProcessState {
+public final class Blackboard {
 
     private final AtomicReference<LogDerivedState> log = new AtomicReference<>(LogDerivedState.initial());
 
@@ -31,7 +31,7 @@
      *
      * @param nowMillis The monotonic time in milliseconds, from which freshness is counted initially.
      */
-    public ProcessState(long nowMillis) {
+    public Blackboard(long nowMillis) {
         position = new AtomicReference<>(new LogPosition(0, nowMillis));
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Returns the backend servers as listed by the platform. */
-    public List<ListedBackendServer> listed() {
+    public List<ListedBackendServer> listedBackendServers() {
         return listed.get();
     }
 
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogDerivedState.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/blackboard/LogDerivedState.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.runtime.state;
+package org.cranberrygauge.runtime.blackboard;
 
 import org.cranberrygauge.decision.configuration.ConfigurationState;
 import org.cranberrygauge.decision.configuration.KeyIndex;
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/state/LogPosition.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/blackboard/LogPosition.java
@@ -1,4 +1,4 @@
-package org.cranberrygauge.runtime.state;
+package org.cranberrygauge.runtime.blackboard;
 
 /**
  * The position up to which this process has read the log.
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogFollower.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/LogFollower.java
@@ -15,10 +15,10 @@
 import org.cranberrygauge.model.error.CranberrygaugeException;
 import org.cranberrygauge.protocol.log.LogCodec;
 import org.cranberrygauge.protocol.platform.PlatformLog;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
+import org.cranberrygauge.runtime.blackboard.LogDerivedState;
+import org.cranberrygauge.runtime.blackboard.LogPosition;
 import org.cranberrygauge.runtime.event.EventLog;
-import org.cranberrygauge.runtime.state.LogDerivedState;
-import org.cranberrygauge.runtime.state.LogPosition;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 
 /**
@@ -48,7 +48,7 @@
 
     private final PlatformLog log;
 
-    private final ProcessState processState;
+    private final Blackboard blackboard;
 
     private final TimeSource time;
 
@@ -69,11 +69,11 @@
 
     private volatile boolean running = true;
 
-    public LogFollower(Vertx vertx, PlatformLog log, ProcessState processState, TimeSource time, EventLog events) {
+    public LogFollower(Vertx vertx, PlatformLog log, Blackboard blackboard, TimeSource time, EventLog events) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.log = log;
-        this.processState = processState;
+        this.blackboard = blackboard;
         this.time = time;
         this.events = events;
     }
@@ -153,7 +153,7 @@
         }
         applyAll(page.entries());
         if (state.offset() >= page.endOffset()) {
-            processState.publish(new LogPosition(state.offset(), requestedAtMillis));
+            blackboard.publish(new LogPosition(state.offset(), requestedAtMillis));
         }
         readOnce();
     }
@@ -247,10 +247,9 @@
     }
 
     private void publish() {
-        processState.publish(
+        blackboard.publish(
                 new LogDerivedState(state.configuration(), keys, state.lease(), state.members(), state.drains()));
-        processState.publish(
-                new LogPosition(state.offset(), processState.position().endReadAtMillis()));
+        blackboard.publish(new LogPosition(state.offset(), blackboard.position().endReadAtMillis()));
     }
 
     private void retain(PlatformLog.StoredEntry entry) {
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotReader.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotReader.java
@@ -51,7 +51,7 @@
         try {
             for (LogRecord record : LogCodec.read(entry.payload()).records()) {
                 if (record instanceof LogRecord.SnapshotPart part && part.throughOffset() + 1 >= firstOffset) {
-                    acceptSnapshot(parts.take(part));
+                    acceptSnapshot(parts.add(part));
                 }
             }
         } catch (CranberrygaugeException exception) {
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotWriter.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/log/SnapshotWriter.java
@@ -54,7 +54,7 @@
         startedOffset = state.offset();
         String text = JsonCodec.write(state.export());
         List<SnapshotPart> parts =
-                SnapshotParts.cut(incarnation + "." + startedOffset, startedOffset, text, MAX_PART_CHARACTERS);
+                SnapshotParts.split(incarnation + "." + startedOffset, startedOffset, text, MAX_PART_CHARACTERS);
         Future<Long> appended = Future.succeededFuture();
         for (SnapshotPart part : parts) {
             appended = appended.compose(offset -> append.apply(part));
--- a/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/GatewayStatusClient.java
+++ b/cranberrygauge-runtime/src/main/java/org/cranberrygauge/runtime/platform/GatewayStatusClient.java
@@ -23,7 +23,7 @@
     private GatewayStatusClient() {}
 
     /** Returns the report of a gateway, or nothing if it does not answer. Blocks until then. */
-    public static Optional<GatewayReport> ask(GatewayMember member) {
+    public static Optional<GatewayReport> fetchReport(GatewayMember member) {
         NetworkAddress address = NetworkAddress.parse(member.address());
         try (TSocket socket = new TSocket(address.host(), address.port(), TIMEOUT_MILLIS);
                 TFramedTransport transport = new TFramedTransport(socket)) {
--- a/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/log/SnapshotsTest.java
+++ b/cranberrygauge-runtime/src/test/java/org/cranberrygauge/runtime/log/SnapshotsTest.java
@@ -20,8 +20,8 @@
 import org.cranberrygauge.model.record.UsageKey;
 import org.cranberrygauge.protocol.log.LogCodec;
 import org.cranberrygauge.protocol.platform.PlatformLog;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 import org.cranberrygauge.runtime.event.EventLog;
-import org.cranberrygauge.runtime.state.ProcessState;
 import org.cranberrygauge.runtime.time.TimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -75,18 +75,18 @@
         append(new LogRecord.GatewayJoined("late", "host-late", "d", "a:9"));
         log.subList(0, 5).clear();
         Vertx vertx = Vertx.vertx();
-        ProcessState processState = new ProcessState(0);
+        Blackboard blackboard = new Blackboard(0);
         CountDownLatch atEnd = new CountDownLatch(1);
         LogFollower follower =
-                new LogFollower(vertx, new RetainedLog(atEnd), processState, TimeSource.System.INSTANCE, events);
+                new LogFollower(vertx, new RetainedLog(atEnd), blackboard, TimeSource.System.INSTANCE, events);
         follower.start();
 
         assertThat(atEnd.await(10, TimeUnit.SECONDS)).isTrue();
         follower.stop();
         vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-        assertThat(processState.log().members().contains("late")).isTrue();
-        assertThat(processState.log().members().contains("g")).isTrue();
-        assertThat(processState.log().lease()).isEqualTo(state.lease());
+        assertThat(blackboard.log().members().contains("late")).isTrue();
+        assertThat(blackboard.log().members().contains("g")).isTrue();
+        assertThat(blackboard.log().lease()).isEqualTo(state.lease());
     }
 
     private void fill() {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ExchangeBenchmark.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/ExchangeBenchmark.java
@@ -21,7 +21,7 @@
 import org.cranberrygauge.model.backend.HostState;
 import org.cranberrygauge.model.backend.ListedBackendServer;
 import org.cranberrygauge.protocol.generated.GatewayReport;
-import org.cranberrygauge.runtime.state.ProcessState;
+import org.cranberrygauge.runtime.blackboard.Blackboard;
 
 /**
  * Measures the Thrift exchange of reports between many nodes, in one process without sockets.
@@ -164,8 +164,8 @@
 
     /** Creates an updater of a table whose backend servers all serve one model. */
     private static BackendTableUpdater updater(int servers, int peers) {
-        ProcessState state = new ProcessState(0);
-        state.publish(IntStream.range(0, servers)
+        Blackboard blackboard = new Blackboard(0);
+        blackboard.publish(IntStream.range(0, servers)
                 .mapToObj(SyntheticData::server)
                 .map(server -> new BackendServer(
                         server.name(),
@@ -180,9 +180,9 @@
                 .toList());
         for (int peer = 0; peer < peers; peer++) {
             PeerReport report = peerReport(SyntheticData.report(peer, Math.min(servers, SERVERS_IN_USE)));
-            state.peers().put("host-" + peer, report);
+            blackboard.peers().put("host-" + peer, report);
         }
-        return new BackendTableUpdater(state, "host-self");
+        return new BackendTableUpdater(blackboard, "host-self");
     }
 
     private static BackendTable table() {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/AtMostOnceScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/AtMostOnceScenario.java
@@ -236,7 +236,7 @@
         private void onApplied(ApplyResult applied) {
             if (applied instanceof ApplyResult.ReservationResult result
                     && unconfirmedReservations.remove(result.reservationId()) != null) {
-                onDecision(result.reservationId(), result.verdict());
+                onDecision(result.reservationId(), result.decision());
             }
         }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
@@ -8,7 +8,7 @@
 import org.cranberrygauge.model.record.LogRecord;
 
 /**
- * A backend server is drained and handed back while three gateways send it requests.
+ * A backend server is drained and released while three gateways send it requests.
  *
  * <p>The backend server counts requests. Not thread-safe.
  */
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
@@ -208,8 +208,8 @@
             if (reader && peer == gateway) {
                 return false;
             }
-            boolean asked = reader || removalRule == RemovalRule.SILENCE_TO_ALL;
-            if (asked && (state.heard(peer) >> gateway & 1) != 0) {
+            boolean consulted = reader || removalRule == RemovalRule.SILENCE_TO_ALL;
+            if (consulted && (state.heard(peer) >> gateway & 1) != 0) {
                 return false;
             }
             readers |= reader;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
@@ -120,7 +120,7 @@
         return !isChat() || tokens < 4 ? 0 : (lastTokenAtMillis - firstTokenAtMillis) / (tokens - 1);
     }
 
-    /** Completes the attempt with the whole answer. */
+    /** Completes the attempt with the complete answer. */
     void finish() {
         if (!closed) {
             closed = true;
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyVariant.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/PolicyVariant.java
@@ -89,7 +89,7 @@
                 admission(
                         "customers-in-arrival-order",
                         Kind.ABLATION,
-                        AdmissionPolicy.standard().withLines(CustomerQueues.FirstInFirstOut::new)),
+                        AdmissionPolicy.standard().withCustomerQueues(CustomerQueues.FirstInFirstOut::new)),
                 admission(
                         "shares-not-deferred",
                         Kind.ABLATION,
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
@@ -208,7 +208,7 @@
         request.delivered += tokens;
     }
 
-    /** Handles the end of an attempt that delivered the whole answer. */
+    /** Handles the end of an attempt that delivered the complete answer. */
     void finished(EngineAttempt attempt) {
         attempts.remove(attempt.requestId());
         retries.succeeded();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayResult.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayResult.java
@@ -83,7 +83,7 @@
         Map<String, Double> byCustomer =
                 attainment(requests, request -> request.trace.customer(), MINIMUM_CUSTOMER_REQUESTS);
         String floodingCustomer = trace.profile() == TraceProfile.CUSTOMER_FLOOD
-                ? new ProfileGenerator(configuration).flooding().name()
+                ? new ProfileGenerator(configuration).floodingCustomer().name()
                 : "";
         byCustomer.remove(floodingCustomer);
         Map.Entry<String, Double> worst =
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplaySimulation.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplaySimulation.java
@@ -161,7 +161,7 @@
             return;
         }
         boolean logUnavailable = trace.faults().stream()
-                .anyMatch(fault -> fault.kind() == TraceFault.Kind.LOG_OUTAGE && fault.isOnAt(nowMillis));
+                .anyMatch(fault -> fault.kind() == TraceFault.Kind.LOG_OUTAGE && fault.isActiveAt(nowMillis));
         if (logUnavailable && request.trace.mutates()) {
             end(request, ReplayedRequest.End.REFUSED);
             return;
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/LeaseProcessTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/process/LeaseProcessTest.java
@@ -152,8 +152,8 @@
 
     private static String holder(Map<String, Node> controllers, String except) {
         for (Map.Entry<String, Node> entry : controllers.entrySet()) {
-            boolean asked = !entry.getKey().equals(except);
-            if (asked && state(entry.getValue()).holds_lease()) {
+            boolean candidate = !entry.getKey().equals(except);
+            if (candidate && state(entry.getValue()).holds_lease()) {
                 return entry.getKey();
             }
         }
