--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControlEvents.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/control/ControlEvents.java
@@ -19,7 +19,7 @@
     /**
      * A record of another writer could not be read and is ignored.
      *
-     * @param topic The topic of the record, or {@code datagram} for a message of another host.
+     * @param topic The topic of the record, or datagram for a message of another host.
      * @param key The key of the record; empty if it has none.
      * @param detail The reason.
      */
@@ -31,7 +31,7 @@
      * @param backend The identifier of the backend server.
      * @param pool The pool that it belongs to.
      * @param dataCentre The data centre that it runs in.
-     * @param state Whether it accepts new requests: {@code ready} or {@code leaving}.
+     * @param state Whether it accepts new requests: ready or leaving.
      */
     public record BackendListed(String backend, String pool, String dataCentre, String state) implements Event {}
 
