--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/DocumentationTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/DocumentationTest.java
@@ -155,7 +155,7 @@
 
         @Override
         public Void visitClass(ClassTree node, Void nothing) {
-            check(node, node.getSimpleName().toString());
+            checkComment(node.getSimpleName().toString());
             return super.visitClass(node, nothing);
         }
 
@@ -164,7 +164,7 @@
             Tree parent = getCurrentPath().getParentPath().getLeaf();
             boolean constructor = node.getName().contentEquals("<init>");
             String owner = ((ClassTree) parent).getSimpleName().toString();
-            check(node, constructor ? owner : node.getName().toString());
+            checkComment(constructor ? owner : node.getName().toString());
             boolean required = parent.getKind() == Tree.Kind.INTERFACE
                     && node.getBody() == null
                     && !node.getParameters().isEmpty();
@@ -176,24 +176,23 @@
 
         @Override
         public Void visitVariable(VariableTree node, Void nothing) {
-            check(node, node.getName().toString());
+            checkComment(node.getName().toString());
             return super.visitVariable(node, nothing);
         }
 
-        private void check(Tree node, String name) {
+        /** Checks the doc comment of the current element, if it has one. */
+        private void checkComment(String name) {
             DocCommentTree comment = trees.getDocCommentTree(getCurrentPath());
             if (comment == null) {
                 return;
             }
             check(text(comment.getFullBody()), name);
             for (DocTree tag : comment.getBlockTags()) {
-                if (tag instanceof ParamTree) {
-                    check(
-                            text(((ParamTree) tag).getDescription()),
-                            ((ParamTree) tag).getName().toString());
+                if (tag instanceof ParamTree parameter) {
+                    check(text(parameter.getDescription()), parameter.getName().toString());
                 }
-                if (tag instanceof ReturnTree) {
-                    check(text(((ReturnTree) tag).getDescription()), name);
+                if (tag instanceof ReturnTree result) {
+                    check(text(result.getDescription()), name);
                 }
             }
         }
