--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/ClassTokenQueue.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/ClassTokenQueue.java
@@ -5,159 +5,101 @@
 import org.cranberrygauge.model.service.ServiceClass;
 
 /**
- * The tokens that one class asks for, served first in, first out.
+ * The output tokens that one class requests, served first in, first out.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 final class ClassTokenQueue {
 
-    /** The number of milliseconds in a second. */
     private static final double MILLIS = 1_000;
 
-    /** The class. */
     private final ServiceClass serviceClass;
 
-    /** The tokens that wait. */
     private final Deque<Chunk> queue = new ArrayDeque<>();
 
-    /** The tokens that wait, added up. */
-    private double waiting;
+    private double queuedTokens;
 
-    /** The tokens that started within the target. */
-    private double met;
+    /** The tokens served within the target. */
+    private double servedInTime;
 
-    /** The tokens that started late or were given up. */
-    private double missed;
+    /** The tokens served late or expired. */
+    private double missedTarget;
 
-    /** The tokens served since they were last taken. */
+    /** The tokens served since {@link #takeServed} was last called. */
     private double served;
 
-    /**
-     * Creates a stream.
-     *
-     * @param serviceClass The class.
-     */
     ClassTokenQueue(ServiceClass serviceClass) {
         this.serviceClass = serviceClass;
     }
 
-    /**
-     * Takes tokens in.
-     *
-     * @param second The second of the day.
-     * @param tokens The tokens.
-     */
     void arrive(int second, double tokens) {
         queue.addLast(new Chunk(second, tokens));
-        waiting += tokens;
+        queuedTokens += tokens;
     }
 
-    /**
-     * Serves tokens.
-     *
-     * @param second The second of the day.
-     * @param budget The highest number of tokens.
-     * @return The number served.
-     */
+    /** Serves at most the given number of tokens and returns the number served. */
     double serve(int second, double budget) {
-        double left = budget;
-        while (left > 0 && !queue.isEmpty()) {
+        double remaining = budget;
+        while (remaining > 0 && !queue.isEmpty()) {
             Chunk chunk = queue.removeFirst();
-            double part = Math.min(left, chunk.tokens());
-            if (chunk.tokens() > part) {
-                queue.addFirst(new Chunk(chunk.second(), chunk.tokens() - part));
+            double portion = Math.min(remaining, chunk.tokens());
+            if (chunk.tokens() > portion) {
+                queue.addFirst(new Chunk(chunk.second(), chunk.tokens() - portion));
             }
             boolean inTime = (second - chunk.second()) * MILLIS <= serviceClass.firstTokenTargetMillis();
-            met += inTime ? part : 0;
-            missed += inTime ? 0 : part;
-            left -= part;
+            servedInTime += inTime ? portion : 0;
+            missedTarget += inTime ? 0 : portion;
+            remaining -= portion;
         }
-        double given = budget - left;
-        waiting -= given;
-        served += given;
-        return given;
+        double servedNow = budget - remaining;
+        queuedTokens -= servedNow;
+        served += servedNow;
+        return servedNow;
     }
 
-    /**
-     * Gives up what waited too long.
-     *
-     * @param second The second of the day.
-     */
+    /** Drops the tokens that have waited for the longest wait of the class. */
     void expire(int second) {
         while (!queue.isEmpty() && (second - queue.peekFirst().second()) * MILLIS >= serviceClass.longestWaitMillis()) {
             Chunk chunk = queue.removeFirst();
-            waiting -= chunk.tokens();
-            missed += chunk.tokens();
+            queuedTokens -= chunk.tokens();
+            missedTarget += chunk.tokens();
         }
     }
 
-    /**
-     * Returns the name of the class.
-     *
-     * @return The name.
-     */
     String name() {
         return serviceClass.name();
     }
 
-    /**
-     * Returns the guaranteed share.
-     *
-     * @return The share.
-     */
-    double share() {
+    double guaranteedShare() {
         return serviceClass.guaranteedShare();
     }
 
-    /**
-     * Returns the tokens that wait.
-     *
-     * @return The tokens.
-     */
-    double waiting() {
-        return waiting;
+    double queuedTokens() {
+        return queuedTokens;
     }
 
-    /**
-     * Returns the tokens that started late or were given up.
-     *
-     * @return The tokens.
-     */
-    double missed() {
-        return missed;
+    /** Returns the number of tokens served late or expired. */
+    double missedTarget() {
+        return missedTarget;
     }
 
-    /**
-     * Returns the share of tokens that started within the target.
-     *
-     * @return The share.
-     */
+    /** Returns the share of tokens served within the target; 1 if there were none. */
     double attainment() {
-        return met + missed == 0 ? 1 : met / (met + missed);
+        return servedInTime + missedTarget == 0 ? 1 : servedInTime / (servedInTime + missedTarget);
     }
 
-    /**
-     * Takes the tokens served since the last call.
-     *
-     * @return The tokens.
-     */
+    /** Returns the tokens served since the last call, and resets their count. */
     double takeServed() {
         double taken = served;
         served = 0;
         return taken;
     }
 
-    /** Forgets what was counted. */
     void resetCounts() {
-        met = 0;
-        missed = 0;
+        servedInTime = 0;
+        missedTarget = 0;
     }
 
-    /**
-     * Tokens that arrived together.
-     *
-     * @param second The second of the day.
-     * @param tokens The tokens.
-     */
+    /** The tokens that arrived in one second. */
     private record Chunk(int second, double tokens) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetBench.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetBench.java
@@ -20,23 +20,17 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/**
- * Measures cost against attainment of each planner for each scenario, and writes the page and the plots.
- *
- * <p>Stateless.
- */
+/** Measures cost against attainment of each planner in each scenario, and writes the page and the plots. */
 public final class FleetBench {
 
-    /** The seed of all scenarios. */
     private static final long SEED = 20_261_203;
 
-    /** The utilizations that planners are run with. */
+    /** The target utilizations that planners run with. */
     private static final double[] UTILIZATIONS = {0.5, 0.6, 0.7, 0.8, 0.9};
 
-    /** The sizes of the fixed fleet as parts of the greatest. */
-    private static final double[] FIXED_PARTS = {0.4, 0.55, 0.7, 0.85, 1.0};
+    /** The sizes of the fixed fleet as fractions of the maximum. */
+    private static final double[] FIXED_FRACTIONS = {0.4, 0.55, 0.7, 0.85, 1.0};
 
-    /** The number of percent in a whole. */
     private static final double PERCENT = 100;
 
     /** The width of a plot in pixels. */
@@ -45,14 +39,13 @@
     /** The height of a plot in pixels. */
     private static final int HEIGHT = 500;
 
-    /** Prevents instances. */
     private FleetBench() {}
 
     /**
-     * Runs the bench.
+     * Runs the benchmark.
      *
-     * @param arguments The directory for the page and the plots.
-     * @throws IOException If they can't be written.
+     * @param arguments The output directory; docs/measurements if absent.
+     * @throws IOException If the page or a plot can't be written.
      */
     public static void main(String[] arguments) throws IOException {
         Path directory = Path.of(arguments.length > 0 ? arguments[0] : "docs/measurements");
@@ -79,14 +72,7 @@
         System.out.println(page);
     }
 
-    /**
-     * Measures one scenario.
-     *
-     * @param scenario The scenario.
-     * @param page Takes the table.
-     * @param directory The directory for the plot.
-     * @throws IOException If the plot can't be written.
-     */
+    /** Simulates all planners in a scenario, appends their table to the page and writes the plot. */
     private static void measure(FleetScenario scenario, StringBuilder page, Path directory) throws IOException {
         String title = scenario.deployment() + ", " + scenario.name();
         XYChart chart = new XYChartBuilder()
@@ -120,30 +106,25 @@
         BitmapEncoder.saveBitmap(chart, directory.resolve(plot).toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /**
-     * Lists the runs of a scenario.
-     *
-     * @param scenario The scenario.
-     * @return The runs by planner.
-     */
+    /** Returns the runs by name of the planner. */
     private static Map<String, List<Run>> runs(FleetScenario scenario) {
         Map<String, List<Run>> runs = new LinkedHashMap<>();
         List<Run> forecast = new ArrayList<>();
         List<Run> reactive = new ArrayList<>();
         for (double utilization : UTILIZATIONS) {
-            FleetParameters known = scenario.parameters();
+            FleetParameters defaults = scenario.parameters();
             FleetParameters parameters = new FleetParameters(
-                    known.tokensPerSecond(),
+                    defaults.tokensPerSecond(),
                     utilization,
-                    known.startMillis(),
-                    known.weightsMillis(),
-                    known.idleMillis());
+                    defaults.startMillis(),
+                    defaults.weightsMillis(),
+                    defaults.idleMillis());
             forecast.add(new Run(utilization, new ForecastFleetPlanner(parameters)));
             reactive.add(new Run(utilization, new FleetPlanner.Reactive(parameters)));
         }
         List<Run> fixed = new ArrayList<>();
-        for (double part : FIXED_PARTS) {
-            fixed.add(new Run(part, new FleetPlanner.Fixed(sizes(scenario, part))));
+        for (double fraction : FIXED_FRACTIONS) {
+            fixed.add(new Run(fraction, new FleetPlanner.Fixed(sizes(scenario, fraction))));
         }
         runs.put("forecast", forecast);
         runs.put("reactive", reactive);
@@ -151,31 +132,16 @@
         return runs;
     }
 
-    /**
-     * Sizes a fixed fleet: the part of each cheap pool, and the rounded-up part of each regular one.
-     *
-     * @param scenario The scenario.
-     * @param part The part of the greatest size.
-     * @return The sizes by pool.
-     */
-    private static Map<String, Integer> sizes(FleetScenario scenario, double part) {
+    /** Sizes a fixed fleet: the given fraction of each cheap pool, and half of it, rounded up, of each regular one. */
+    private static Map<String, Integer> sizes(FleetScenario scenario, double fraction) {
         Map<String, Integer> sizes = new LinkedHashMap<>();
         for (FleetPool pool : scenario.configuration().fleet()) {
-            double size = pool.maximum() * part;
+            double size = pool.maximum() * fraction;
             sizes.put(pool.name(), (int) (pool.supply() == Supply.CHEAP ? Math.round(size) : Math.ceil(size / 2)));
         }
         return sizes;
     }
 
-    /**
-     * Formats a row.
-     *
-     * @param scenario The scenario.
-     * @param planner The name of the planner.
-     * @param setting The setting.
-     * @param result The result.
-     * @return The row.
-     */
     private static String row(FleetScenario scenario, String planner, double setting, FleetResult result) {
         StringBuilder row = new StringBuilder(String.format(Locale.ROOT, "| %s | %.2f |", planner, setting));
         scenario.configuration()
@@ -191,11 +157,6 @@
                 .toString();
     }
 
-    /**
-     * One run.
-     *
-     * @param setting The setting.
-     * @param planner The planner.
-     */
+    /** A planner with the value of the setting that distinguishes its runs. */
     private record Run(double setting, FleetPlanner planner) {}
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetResult.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetResult.java
@@ -3,25 +3,21 @@
 import java.util.Map;
 
 /**
- * What a run measured.
+ * The result of simulating one planner.
  *
  * @param attainment The share of tokens that started within the target, by class.
- * @param cost The cost of all servers.
- * @param cheapShare The share of tokens given by cheap servers.
- * @param harmedTokens The tokens of protected classes that missed their target in the ten minutes after an eviction.
+ * @param cost The cost of all backend servers over the day.
+ * @param cheapShare The share of tokens served by cheap backend servers.
+ * @param harmedTokens The tokens of protected classes, which are all but the lowest tier, that missed their target in
+ *     the ten minutes after an eviction.
  */
 public record FleetResult(Map<String, Double> attainment, double cost, double cheapShare, double harmedTokens) {
 
-    /** Copies the map. */
     public FleetResult {
         attainment = Map.copyOf(attainment);
     }
 
-    /**
-     * Returns the attainment of the class that fares worst.
-     *
-     * @return The share.
-     */
+    /** Returns the lowest attainment of all classes. */
     public double worstAttainment() {
         return attainment.values().stream()
                 .mapToDouble(Double::doubleValue)
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetSimulation.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetSimulation.java
@@ -16,83 +16,68 @@
 import org.cranberrygauge.model.configuration.FleetPool;
 
 /**
- * Steps a planner through a scenario, second by second.
+ * Simulates a fleet planner through a scenario, second by second.
  *
- * <p>Stand-ins, not a simulator: a server gives a fixed number of tokens a second, weights are loaded one server after
- * another, and the classes are served as one stream of tokens each, in the order of their tiers after their guaranteed
- * shares. The same scenario and planner give the same result. Used by one thread and thrown away.
+ * <p>The model is simplified: a backend server gives a fixed number of tokens per second, weights are loaded by one
+ * backend server after another, and each class is a single queue of tokens. Classes are served up to their guaranteed
+ * shares first, then in the order of their tiers. The same scenario and planner give the same result. Run once, by one
+ * thread.
  */
 public final class FleetSimulation {
 
-    /** The time between two decisions in seconds. */
+    /** The interval between two decisions of the planner. */
     private static final int DECISION_SECONDS = 5;
 
-    /** The time before the first second in which the fleet settles. */
+    /** The time before the measured day in which the fleet reaches its steady state. */
     private static final int WARM_UP_SECONDS = 1_800;
 
-    /** The time after an eviction in which its harm is counted in seconds. */
+    /** The time after the start of an eviction in which missed tokens count as harm. */
     private static final int HARM_SECONDS = 600;
 
-    /** The number of milliseconds in a second. */
     private static final long MILLIS = 1_000;
 
-    /** The number of seconds in an hour. */
     private static final double SECONDS_PER_HOUR = 3_600;
 
-    /** The scenario. */
     private final FleetScenario scenario;
 
-    /** The planner. */
     private final FleetPlanner planner;
 
-    /** Bounds the rate of orders, as in the controller. */
-    private final OrderRateLimiter pacing = new OrderRateLimiter(60);
+    /** Limits the rate of orders, as in the controller. */
+    private final OrderRateLimiter rateLimiter = new OrderRateLimiter(60);
 
-    /** The times in seconds at which the servers of each pool are live. */
+    /** The second at which each backend server becomes live, by pool. */
     private final Map<String, List<Integer>> servers = new HashMap<>();
 
-    /** The streams of the classes. */
-    private final List<ClassTokenQueue> streams = new ArrayList<>();
+    private final List<ClassTokenQueue> queues = new ArrayList<>();
 
-    /** The second from which the weight store is free. */
+    /** The second from which the weight store can serve the next backend server. */
     private int weightsFreeAt = -WARM_UP_SECONDS;
 
-    /** The cost so far. */
     private double cost;
 
-    /** The tokens given by cheap servers. */
+    /** The tokens served by cheap backend servers. */
     private double cheapTokens;
 
-    /** The tokens given by all servers. */
+    /** The tokens served by all backend servers. */
     private double servedTokens;
 
     /** The tokens of protected classes that missed their target after an eviction. */
     private double harmedTokens;
 
-    /** The tokens given in the last second by protected classes. */
+    /** The tokens per second of protected classes, all but the lowest tier, in the last second. */
     private double protectedRate;
 
-    /** The tokens given in the last second by all classes. */
+    /** The tokens per second of all classes in the last second. */
     private double rate;
 
-    /**
-     * Creates a simulation.
-     *
-     * @param scenario The scenario.
-     * @param planner The planner.
-     */
     public FleetSimulation(FleetScenario scenario, FleetPlanner planner) {
         this.scenario = scenario;
         this.planner = planner;
-        scenario.configuration().classes().forEach(serviceClass -> streams.add(new ClassTokenQueue(serviceClass)));
+        scenario.configuration().classes().forEach(serviceClass -> queues.add(new ClassTokenQueue(serviceClass)));
         scenario.configuration().fleet().forEach(pool -> servers.put(pool.name(), new ArrayList<>()));
     }
 
-    /**
-     * Runs the day.
-     *
-     * @return What was measured.
-     */
+    /** Simulates the warm-up and the day, and returns the results of the day. */
     public FleetResult run() {
         for (int second = -WARM_UP_SECONDS; second < FleetScenario.SECONDS; second++) {
             evict(second);
@@ -101,22 +86,18 @@
             }
             serve(second);
             if (second == -1) {
-                streams.forEach(ClassTokenQueue::resetCounts);
+                queues.forEach(ClassTokenQueue::resetCounts);
                 cost = 0;
                 cheapTokens = 0;
                 servedTokens = 0;
             }
         }
         Map<String, Double> attainment = new HashMap<>();
-        streams.forEach(stream -> attainment.put(stream.name(), stream.attainment()));
+        queues.forEach(queue -> attainment.put(queue.name(), queue.attainment()));
         return new FleetResult(attainment, cost, cheapTokens / Math.max(1, servedTokens), harmedTokens);
     }
 
-    /**
-     * Removes the servers of a data centre that is evicted.
-     *
-     * @param second The second of the day.
-     */
+    /** Removes the backend servers of evicted pools. */
     private void evict(int second) {
         for (FleetPool pool : scenario.configuration().fleet()) {
             if (isEvicted(second, pool)) {
@@ -125,54 +106,39 @@
         }
     }
 
-    /**
-     * Tells whether a pool is evicted.
-     *
-     * @param second The second of the day.
-     * @param pool The pool.
-     * @return Whether it is.
-     */
     private boolean isEvicted(int second, FleetPool pool) {
         return pool.supply() == Supply.CHEAP
                 && scenario.evictions().stream()
-                        .anyMatch(eviction -> eviction.lastsAt(second)
+                        .anyMatch(eviction -> eviction.isActiveAt(second)
                                 && eviction.dataCentre().equals(pool.dataCentre()));
     }
 
-    /**
-     * Lets the planner order.
-     *
-     * @param second The second of the day.
-     */
+    /** Lets the planner decide and carries out its orders. */
     private void order(int second) {
         long nowMillis = second * MILLIS;
         Map<String, PoolState> pools = new HashMap<>();
         servers.forEach((pool, liveAt) -> {
-            int live = (int) liveAt.stream().filter(at -> at <= second).count();
+            int live = (int)
+                    liveAt.stream().filter(liveSecond -> liveSecond <= second).count();
             pools.put(pool, new PoolState(live, liveAt.size() - live));
         });
-        double waiting = streams.stream().mapToDouble(ClassTokenQueue::waiting).sum();
+        double waiting =
+                queues.stream().mapToDouble(ClassTokenQueue::queuedTokens).sum();
         FleetView view = new FleetView(
                 scenario.configuration(),
                 pools,
                 Map.of("model", new ModelDemand(protectedRate, rate, waiting)),
-                pacing.unavailable(nowMillis),
+                rateLimiter.unavailable(nowMillis),
                 Map.of());
         for (FleetOrder order : planner.decide(nowMillis, view)) {
-            if (pacing.mayOrder(nowMillis, order.pool())) {
-                pacing.ordered(nowMillis, order.pool());
-                pacing.ended(nowMillis, order.pool(), carryOut(second, order));
+            if (rateLimiter.mayOrder(nowMillis, order.pool())) {
+                rateLimiter.ordered(nowMillis, order.pool());
+                rateLimiter.ended(nowMillis, order.pool(), carryOut(second, order));
             }
         }
     }
 
-    /**
-     * Carries out an order.
-     *
-     * @param second The second of the day.
-     * @param order The order.
-     * @return The result.
-     */
+    /** Carries out an order and returns its outcome. */
     private String carryOut(int second, FleetOrder order) {
         FleetPool pool = scenario.configuration().fleet().stream()
                 .filter(candidate -> candidate.name().equals(order.pool()))
@@ -186,48 +152,45 @@
             return OrderRateLimiter.UNAVAILABLE;
         }
         while (present.size() < order.desiredCount()) {
-            int loaded = Math.max(second, weightsFreeAt)
+            int loadedAt = Math.max(second, weightsFreeAt)
                     + (int) (scenario.parameters().weightsMillis() / MILLIS);
-            weightsFreeAt = loaded;
-            present.add(loaded + (int) (scenario.parameters().startMillis() / MILLIS));
+            weightsFreeAt = loadedAt;
+            present.add(loadedAt + (int) (scenario.parameters().startMillis() / MILLIS));
         }
         return "done";
     }
 
-    /**
-     * Serves one second.
-     *
-     * @param second The second of the day.
-     */
+    /** Serves one second of demand and updates the results. */
     private void serve(int second) {
         double regular = 0;
         double cheap = 0;
         for (FleetPool pool : scenario.configuration().fleet()) {
             List<Integer> present = servers.get(pool.name());
-            double live = present.stream().filter(at -> at <= second).count()
-                    * scenario.parameters().tokensPerSecond();
+            double live =
+                    present.stream().filter(liveSecond -> liveSecond <= second).count()
+                            * scenario.parameters().tokensPerSecond();
             cost += present.size() * pool.costPerHour() / SECONDS_PER_HOUR;
             regular += pool.supply() == Supply.REGULAR ? live : 0;
             cheap += pool.supply() == Supply.CHEAP ? live : 0;
         }
         double capacity = regular + cheap;
-        double left = capacity;
+        double remaining = capacity;
         double missedBefore = protectedMissed();
-        for (int index = 0; index < streams.size(); index++) {
-            streams.get(index).arrive(second, scenario.demand()[Math.max(0, second)][index]);
+        for (int index = 0; index < queues.size(); index++) {
+            queues.get(index).arrive(second, scenario.demand()[Math.max(0, second)][index]);
         }
-        for (ClassTokenQueue stream : streams) {
-            left -= stream.serve(second, Math.min(left, capacity * stream.share()));
+        for (ClassTokenQueue queue : queues) {
+            remaining -= queue.serve(second, Math.min(remaining, capacity * queue.guaranteedShare()));
         }
-        for (ClassTokenQueue stream : streams) {
-            left -= stream.serve(second, left);
-            stream.expire(second);
+        for (ClassTokenQueue queue : queues) {
+            remaining -= queue.serve(second, remaining);
+            queue.expire(second);
         }
-        rate = capacity - left;
+        rate = capacity - remaining;
         protectedRate = 0;
-        for (int index = 0; index < streams.size(); index++) {
-            double served = streams.get(index).takeServed();
-            protectedRate += index < streams.size() - 1 ? served : 0;
+        for (int index = 0; index < queues.size(); index++) {
+            double served = queues.get(index).takeServed();
+            protectedRate += index < queues.size() - 1 ? served : 0;
         }
         servedTokens += rate;
         cheapTokens += capacity == 0 ? 0 : rate * cheap / capacity;
@@ -236,26 +199,16 @@
         }
     }
 
-    /**
-     * Tells whether an eviction began lately.
-     *
-     * @param second The second of the day.
-     * @return Whether one did.
-     */
+    /** Tells whether an eviction began within {@link #HARM_SECONDS}. */
     private boolean afterEviction(int second) {
         Set<Integer> starts = new HashSet<>();
         scenario.evictions().forEach(eviction -> starts.add(eviction.fromSecond()));
         return starts.stream().anyMatch(start -> second >= start && second < start + HARM_SECONDS);
     }
 
-    /**
-     * Counts the tokens of protected classes that missed their target.
-     *
-     * @return The tokens.
-     */
     private double protectedMissed() {
-        return streams.subList(0, streams.size() - 1).stream()
-                .mapToDouble(ClassTokenQueue::missed)
+        return queues.subList(0, queues.size() - 1).stream()
+                .mapToDouble(ClassTokenQueue::missedTarget)
                 .sum();
     }
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/package-info.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Cost against attainment of fleet planners, by a stepped clock. */
+/** Simulation of fleet planners on virtual time: cost against attainment. */
 package org.cranberrygauge.verification.fleet;
