--- a/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
+++ b/cranberrygauge-decision/src/test/java/org/cranberrygauge/decision/membership/HostLivenessTrackerTest.java
@@ -16,7 +16,7 @@
             .apply(new GatewayJoined("host-2/1", "host-2", "a", "127.0.0.1:2"));
 
     @Test
-    void a_host_that_is_neither_listed_nor_heard_for_the_time_is_gone() {
+    void a_host_that_is_not_listed_and_sent_no_report_for_the_time_is_gone() {
         read(0, 1_000, List.of("host-1", "host-2"));
         read(1_000, 12_500, List.of("host-1"));
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void a_host_that_is_still_heard_is_not_gone() {
+    void a_host_from_which_a_report_was_received_is_not_gone() {
         read(0, 1_000, List.of("host-1", "host-2"));
         read(1_000, 12_500, List.of("host-1"));
         tracker.recordReport(12_000, "host-2");
--- a/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeMetrics.java
+++ b/cranberrygauge-proxy/src/main/java/org/cranberrygauge/proxy/exchange/ExchangeMetrics.java
@@ -37,7 +37,7 @@
                 .register(registry);
         first = Histogram.builder()
                 .name("cranberrygauge_proxy_first_seconds")
-                .help("Time to the first event or the whole answer, by route and customer.")
+                .help("Time to the first event or the complete response, by route and customer.")
                 .labelNames(ROUTE, CUSTOMER)
                 .classicOnly()
                 .classicUpperBounds(BUCKETS)
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/DecisionBenchmark.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/benchmark/DecisionBenchmark.java
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public void start(QueuedRequest request, BackendServer server, boolean owed) {
+    public void start(QueuedRequest request, BackendServer server, boolean guaranteed) {
         running.addLast(new Running(request.requestId(), server.name()));
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/FailureModel.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/FailureModel.java
@@ -45,13 +45,13 @@
                 .toList();
         table.figure("nodes that change cell when a data centre is lost", changed(nodes, rest), "nodes", "computed");
         table.figure(
-                "requests on each other node when a data centre is lost",
+                "requests on each remaining node when a data centre is lost",
                 TargetSize.REQUESTS_PER_SECOND / rest.size(),
                 "requests/s",
                 "23.3 before");
         double changes = TargetSize.AVERAGE_CHANGES_PER_SECOND * TargetSize.HOUR_SECONDS;
         table.figure(
-                "changes that wait in an hour between regions, one authority",
+                "changes delayed in an hour of partition between regions, one authority",
                 changes * SMALLER_REGION,
                 "changes",
                 "3 of 7 data centres are cut off from the log");
@@ -59,7 +59,7 @@
                 "reserved calls refused in that hour, one log",
                 TargetSize.RESERVED_PER_SECOND * TargetSize.HOUR_SECONDS * SMALLER_REGION,
                 "calls",
-                "each told as not run, with when to come back");
+                "each rejected as not run, with a Retry-After");
         table.figure(
                 "reserved calls refused in that hour, a log for each region",
                 0,
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogRoleEstimator.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/LogRoleEstimator.java
@@ -90,10 +90,10 @@
                 "appends, 7 writers",
                 appends(SyntheticData.DATA_CENTRES, records),
                 Budget.APPENDS,
-                "one writer a data centre; gathers 5 ms");
+                "one writer a data centre; batches over 5 ms");
         double batchedAppends = SyntheticData.DATA_CENTRES * TargetSize.MILLIS_PER_SECOND / BATCHING_MILLIS;
         table.needed(
-                        "appends, 7 writers that gather 50 ms",
+                        "appends, 7 writers that batch over 50 ms",
                         batchedAppends,
                         Budget.APPENDS,
                         "at most one entry a writer each 50 ms; adds up to 50 ms to a reserved call")
@@ -104,7 +104,7 @@
         table.role("configuration");
         double changes = TargetSize.CHANGES_PER_SECOND;
         double bytes = slopes.configuration("configuration bytes by ");
-        table.today("one change, a whole record", bytes, Budget.SIZE, "670 customers, 940 backend servers");
+        table.today("one change, a complete record", bytes, Budget.SIZE, "670 customers, 940 backend servers");
         table.today("traffic", changes * bytes, Budget.TRAFFIC, "0.17 changes/s, ten times the day's average");
         table.today(
                 "traffic on the average of a day",
@@ -112,7 +112,7 @@
                 Budget.TRAFFIC,
                 "0.017 changes/s");
         double arrival = TargetSize.MILLIS_PER_SECOND * bytes / Budget.TRAFFIC.limit();
-        table.today("time in which a change arrives", arrival, Budget.CHANGE, "whole record at 21 KiB/s");
+        table.today("time until a change arrives", arrival, Budget.CHANGE, "complete record at 21 KiB/s");
         table.today(
                 "read and apply",
                 changes * slopes.configuration("configuration read and apply by "),
@@ -127,10 +127,10 @@
         double edit = slopes.at("edit bytes", TargetSize.CUSTOMERS);
         table.needed("one change, an edit", edit, Budget.SIZE, "a customer with two keys");
         table.needed(
-                "time in which a change arrives",
+                "time until a change arrives",
                 TargetSize.MILLIS_PER_SECOND * edit / Budget.TRAFFIC.limit(),
                 Budget.CHANGE,
-                "an edit at 21 KiB/s, without the way through log and reader");
+                "an edit at 21 KiB/s, without the delay of log and reader");
         double work =
                 slopes.at("edit apply", TargetSize.CUSTOMERS) + slopes.at("key index build", TargetSize.CUSTOMERS);
         table.needed("apply and key index", changes * work, Budget.WORK, "0.17 changes/s")
@@ -153,7 +153,11 @@
         table.role("usage");
         Slope memory = slopes.slope("memory: usage ledger");
         double all = TargetSize.NODES * TargetSize.PAIRS;
-        table.today("memory", memory.at(all), Budget.MEMORY, "330 gateways times 5360 pairs, if each pair meets each")
+        table.today(
+                        "memory",
+                        memory.at(all),
+                        Budget.MEMORY,
+                        "330 gateways times 5360 pairs, if each gateway serves each pair")
                 .extrapolated(true);
         double summed = SyntheticData.DATA_CENTRES * TargetSize.PAIRS;
         table.needed("memory", memory.at(summed), Budget.MEMORY, "7 writers that sum up, times 5360 pairs")
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/NodeRoleEstimator.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/capacity/NodeRoleEstimator.java
@@ -103,7 +103,7 @@
 
     /** Adds the estimates of handling callers' requests. */
     private void addRequestHandling() {
-        table.role("caller's entry");
+        table.role("request admission");
         double requests = TargetSize.REQUESTS_PER_SECOND / TargetSize.NODES;
         table.today(
                         "key checks",
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/DrainScenario.java
@@ -45,7 +45,7 @@
     /** The number of requests that run on the backend server. */
     private int running;
 
-    private boolean handedBack;
+    private boolean released;
 
     private boolean evicted;
 
@@ -82,12 +82,12 @@
                 process -> {});
         controller.run(DRAIN_AT_MILLIS - context.now(), () -> context.step(controller, Step.DRAIN_START, this::start));
         context.scheduler().runUntil(RUN_MILLIS);
-        String counted = "cut " + interrupted + ", late " + late + ", of them in flight " + lateInFlight
-                + ", handed back " + handedBack;
-        boolean notHandedBack = !handedBack && !evicted;
+        String counted = "cut " + interrupted + ", late " + late + ", of them in flight " + lateInFlight + ", released "
+                + released;
+        boolean notReleased = !released && !evicted;
         return List.of(
-                Finding.of(Invariant.NO_NEW_WORK, late > lateInFlight, late > 0 || notHandedBack, counted),
-                Finding.of(Invariant.NO_CUT, interrupted > 0, notHandedBack, counted));
+                Finding.of(Invariant.NO_NEW_WORK, late > lateInFlight, late > 0 || notReleased, counted),
+                Finding.of(Invariant.NO_CUT, interrupted > 0, notReleased, counted));
     }
 
     /** Appends the drain to the log. */
@@ -111,14 +111,14 @@
     private void handBack() {
         if (!evicted) {
             interrupted += running;
-            handedBack = true;
-            context.scheduler().trace("handed back with " + running + " running");
+            released = true;
+            context.scheduler().trace("released with " + running + " running");
         }
     }
 
     /** Handles a request at the backend server and tells whether it was accepted. */
     private boolean accept(long chosenAtMillis) {
-        if (handedBack || evicted) {
+        if (released || evicted) {
             return false;
         }
         boolean ended = context.log().timeOf(LogRecord.DrainEnded.class) < context.now();
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessPage.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessPage.java
@@ -15,9 +15,9 @@
     /** The names of the rules, in the order of {@link FreshnessSearch#RULES}. */
     private static final List<String> NAMES = List.of(
             "ours: on beside an equally stale peer",
-            "majority of members in touch",
-            "always stop when stale",
-            "never stop");
+            "majority of members reachable",
+            "always stop admitting when stale",
+            "never stop admitting");
 
     private FreshnessPage() {}
 
@@ -49,10 +49,11 @@
         text.append("Four gateways, 15 partitions times 16 sets of gateways that reach the log, all orders of up to ")
                 .append(depth)
                 .append(
-                        " events.\nCounted are pairs of state and gateway, but for the last column, which counts states.\n\n")
+                        " events.\nThe columns count pairs of state and gateway, except the last, which counts states.\n\n")
                 .append(
-                        "| a gateway is declared gone | rule | states | admitted by a withdrawn key | refused without need |")
-                .append(" of harmless | all of several refuse without need |\n|---|---|---:|---:|---:|---:|---:|\n");
+                        "| a gateway is declared gone | rule | states | withdrawn key admitted | refused unnecessarily |")
+                .append(
+                        " of pairs safe to admit | all of several gateways refuse unnecessarily |\n|---|---|---:|---:|---:|---:|---:|\n");
         for (FreshnessSearch.RemovalRule removalRule : FreshnessSearch.RemovalRule.values()) {
             List<FreshnessRuleResult> results = search(NetworkPartition.all(), removalRule, depth);
             for (int rule = 0; rule < results.size(); rule++) {
@@ -68,7 +69,7 @@
                         .append(" | ")
                         .append(result.refusedWithoutNeed())
                         .append(" | ")
-                        .append(result.harmless())
+                        .append(result.safeToAdmit())
                         .append(" | ")
                         .append(result.stopsOfSeveral())
                         .append(" |\n");
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessRuleResult.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessRuleResult.java
@@ -6,13 +6,18 @@
  * @param states The number of states.
  * @param withdrawnAdmitted The number of pairs of state and gateway in which it admits by a key whose withdrawal was
  *     accepted.
- * @param harmless The number of pairs in which admitting is safe because the gateway knows the newest version.
+ * @param safeToAdmit The number of pairs in which admitting is safe because the gateway knows the newest version.
  * @param refusedWithoutNeed The number of safe pairs in which it refuses.
  * @param stops The number of states in which all running gateways refuse although admitting is safe.
  * @param stopsOfSeveral The number of those states in which more than one gateway runs.
  */
 record FreshnessRuleResult(
-        long states, long withdrawnAdmitted, long harmless, long refusedWithoutNeed, long stops, long stopsOfSeveral) {
+        long states,
+        long withdrawnAdmitted,
+        long safeToAdmit,
+        long refusedWithoutNeed,
+        long stops,
+        long stopsOfSeveral) {
 
     /** Returns the result over no states. */
     static FreshnessRuleResult none() {
@@ -24,7 +29,7 @@
         return new FreshnessRuleResult(
                 states + other.states,
                 withdrawnAdmitted + other.withdrawnAdmitted,
-                harmless + other.harmless,
+                safeToAdmit + other.safeToAdmit,
                 refusedWithoutNeed + other.refusedWithoutNeed,
                 stops + other.stops,
                 stopsOfSeveral + other.stopsOfSeveral);
@@ -35,7 +40,7 @@
         return new FreshnessRuleResult(
                 states * factor,
                 withdrawnAdmitted * factor,
-                harmless * factor,
+                safeToAdmit * factor,
                 refusedWithoutNeed * factor,
                 stops * factor,
                 stopsOfSeveral * factor);
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/FreshnessSearch.java
@@ -54,11 +54,11 @@
     /** When the lease holder may remove a gateway from the members. */
     enum RemovalRule {
         /** If its host is dead, which an accurate list of hosts eventually shows. */
-        DEAD_HOST("when its host is dead (a truthful list of hosts)"),
+        DEAD_HOST("when its host is dead (according to an accurate list of hosts)"),
         /** If no gateway that reads the log heard from it within the freshness bound. */
-        SILENCE("when no reader of the log heard it for the bound"),
+        SILENCE("when no gateway that reads the log received its report within the bound"),
         /** If no other gateway heard from it within the freshness bound. */
-        SILENCE_TO_ALL("when nobody heard it for the bound");
+        SILENCE_TO_ALL("when no gateway received its report within the bound");
 
         private final String text;
 
@@ -236,7 +236,7 @@
 
     private FreshnessRuleResult evaluate(GatewayStates state, AdmissionFreshness rule) {
         int withdrawn = 0;
-        int harmless = 0;
+        int safeToAdmit = 0;
         int refused = 0;
         int running = 0;
         int admitting = 0;
@@ -249,12 +249,12 @@
             boolean current = state.knows(gateway) == state.appended() && state.member(gateway);
             admitting += admits ? 1 : 0;
             withdrawn += admits && state.accepted() && !state.knows(gateway) ? 1 : 0;
-            harmless += current ? 1 : 0;
+            safeToAdmit += current ? 1 : 0;
             refused += current && !admits ? 1 : 0;
         }
         boolean needlessStop = running > 0 && admitting == 0 && refused == running;
         return new FreshnessRuleResult(
-                        1, withdrawn, harmless, refused, needlessStop ? 1 : 0, needlessStop && running > 1 ? 1 : 0)
+                        1, withdrawn, safeToAdmit, refused, needlessStop ? 1 : 0, needlessStop && running > 1 ? 1 : 0)
                 .times(partition.weight());
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Mechanism.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Mechanism.java
@@ -26,6 +26,6 @@
     USAGE_COPY,
     /** The figures of a window are those of the log up to its close. */
     PREFIX_WINDOW,
-    /** A backend server is handed back only after all gateways applied the drain and no request runs. */
+    /** A backend server is released only after all gateways applied the drain and no request runs. */
     DRAIN
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Protocol.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Protocol.java
@@ -5,8 +5,8 @@
 /** The protocols of the matrix. */
 enum Protocol {
     /** A keyed call on an at-most-once route. */
-    AT_MOST_ONCE("keyed call at most once", AtMostOnceScenario::new),
-    STREAM("stream of a chat", StreamScenario::new),
+    AT_MOST_ONCE("call with an idempotency key, at most once", AtMostOnceScenario::new),
+    STREAM("chat stream", StreamScenario::new),
     LEASE_FENCING(
             "lease and orders, platform checks fencing numbers",
             () -> new LeaseScenario(LeaseScenario.PlatformCheck.CHECKS_FENCING)),
@@ -20,7 +20,7 @@
     /** A change of the configuration. */
     CONFIGURATION("withdrawal of a key", ConfigurationScenario::new),
     USAGE("usage deltas, windows and reports", UsageScenario::new),
-    DRAIN("emptying of a backend server", DrainScenario::new);
+    DRAIN("draining of a backend server", DrainScenario::new);
 
     private final String title;
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Step.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/faults/Step.java
@@ -42,6 +42,6 @@
     DRAIN_APPLY,
     /** The controller waits for the gateways and the running requests. */
     DRAIN_WAIT,
-    /** The drained backend server is handed back. */
+    /** The drained backend server is released. */
     HAND_BACK
 }
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetBench.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetBench.java
@@ -53,12 +53,12 @@
         StringBuilder page = new StringBuilder("""
                 # Fleet: cost against attainment
 
-                Written by `bin/bench fleet` (seed %d, stepped clock, one simulated day each). Planners: `forecast`
-                is the product's, `reactive` follows the present demand with the cheapest pools first, `fixed` keeps
-                a share of all pools. Each is run at five settings: the utilization that is planned for, or the share
-                of the greatest fleet. A regular server costs 3 an hour, a cheap one 1. Attainment is the share of
-                output tokens that started within the class's target; harm is the number of tokens of all tiers but
-                the lowest that missed it in the ten minutes after the eviction of a data centre of cheap servers.
+                Written by `bin/bench fleet` (seed %d, virtual clock, one simulated day each). Planners: `forecast`
+                is that of the product, `reactive` follows the current demand with the cheapest pools first, `fixed`
+                keeps a share of all pools. Each is run at five settings: the target utilization, or the share of the
+                largest fleet. A regular server costs 3 an hour, a cheap one 1. Attainment is the share of output
+                tokens that started within the class's target; missed tokens are those of all tiers but the lowest
+                that missed their target in the ten minutes after the eviction of a data centre of cheap servers.
                 Servers give 200 tokens/s, start in 60 s, and the weight store loads one in 20 s.
                 """.formatted(SEED));
         List<Function<FleetScenario.Kind, FleetScenario>> deployments =
@@ -89,7 +89,7 @@
         scenario.configuration()
                 .classes()
                 .forEach(each -> page.append(each.name()).append(" % | "));
-        page.append("cost | cheap % | harm, tokens |\n|---|---|");
+        page.append("cost | cheap % | missed tokens |\n|---|---|");
         page.append("---|".repeat(scenario.configuration().classes().size() + 3))
                 .append('\n');
         for (Map.Entry<String, List<Run>> planner : runs(scenario).entrySet()) {
@@ -153,7 +153,7 @@
                         " %.1f | %.1f | %.0f |%n",
                         result.cost(),
                         result.cheapShare() * PERCENT,
-                        result.harmedTokens()))
+                        result.missedTokens()))
                 .toString();
     }
 
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetSimulation.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/fleet/FleetSimulation.java
@@ -31,8 +31,8 @@
     /** The time before the measured day in which the fleet reaches its steady state. */
     private static final int WARM_UP_SECONDS = 1_800;
 
-    /** The time after the start of an eviction in which missed tokens count as harm. */
-    private static final int HARM_SECONDS = 600;
+    /** The time after the start of an eviction in which tokens that miss their target are counted. */
+    private static final int AFTER_EVICTION_SECONDS = 600;
 
     private static final long MILLIS = 1_000;
 
@@ -62,7 +62,7 @@
     private double servedTokens;
 
     /** The tokens of protected classes that missed their target after an eviction. */
-    private double harmedTokens;
+    private double missedTokens;
 
     /** The tokens per second of protected classes, all but the lowest tier, in the last second. */
     private double protectedRate;
@@ -94,7 +94,7 @@
         }
         Map<String, Double> attainment = new HashMap<>();
         queues.forEach(queue -> attainment.put(queue.name(), queue.attainment()));
-        return new FleetResult(attainment, cost, cheapTokens / Math.max(1, servedTokens), harmedTokens);
+        return new FleetResult(attainment, cost, cheapTokens / Math.max(1, servedTokens), missedTokens);
     }
 
     /** Removes the backend servers of evicted pools. */
@@ -195,15 +195,15 @@
         servedTokens += rate;
         cheapTokens += capacity == 0 ? 0 : rate * cheap / capacity;
         if (afterEviction(second)) {
-            harmedTokens += protectedMissed() - missedBefore;
+            missedTokens += protectedMissed() - missedBefore;
         }
     }
 
-    /** Tells whether an eviction began within {@link #HARM_SECONDS}. */
+    /** Tells whether an eviction began within {@link #AFTER_EVICTION_SECONDS}. */
     private boolean afterEviction(int second) {
         Set<Integer> starts = new HashSet<>();
         scenario.evictions().forEach(eviction -> starts.add(eviction.fromSecond()));
-        return starts.stream().anyMatch(start -> second >= start && second < start + HARM_SECONDS);
+        return starts.stream().anyMatch(start -> second >= start && second < start + AFTER_EVICTION_SECONDS);
     }
 
     private double protectedMissed() {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/EngineAttempt.java
@@ -23,8 +23,8 @@
 
     private long startedAtMillis;
 
-    /** Whether it started before higher tiers because its class was owed a start. */
-    private boolean owed;
+    /** Whether it started before higher tiers because its class was guaranteed a start. */
+    private boolean guaranteed;
 
     private double firstTokenAtMillis;
 
@@ -41,17 +41,17 @@
         this.deliveredBefore = request.delivered;
     }
 
-    void markStarted(long nowMillis, boolean wasOwed) {
+    void markStarted(long nowMillis, boolean wasGuaranteed) {
         startedAtMillis = nowMillis;
-        owed = wasOwed;
+        guaranteed = wasGuaranteed;
     }
 
     long startedAtMillis() {
         return startedAtMillis;
     }
 
-    boolean isOwed() {
-        return owed;
+    boolean isGuaranteed() {
+        return guaranteed;
     }
 
     ReplayedRequest request() {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/ReplayGateway.java
@@ -162,11 +162,11 @@
     }
 
     @Override
-    public void start(QueuedRequest queued, BackendServer server, boolean owed) {
+    public void start(QueuedRequest queued, BackendServer server, boolean guaranteed) {
         ReplayedRequest request = requests.get(queued.requestId());
         request.attempts++;
         EngineAttempt attempt = replay.attempt(this, server, request, queued.requestId());
-        attempt.markStarted(clock.nowMillis(), owed);
+        attempt.markStarted(clock.nowMillis(), guaranteed);
         attempts.put(queued.requestId(), attempt);
         replay.started(this, request);
         clock.after(ENGINE_LATENCY_MILLIS, () -> {
--- a/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/TierOrderMonitor.java
+++ b/cranberrygauge-verification/src/main/java/org/cranberrygauge/verification/policy/TierOrderMonitor.java
@@ -99,7 +99,7 @@
                     && request.isChat();
             boolean preemptible = attempt.request().preemptions < PREEMPTION_LIMIT
                     && nowMillis - attempt.startedAtMillis() >= PREEMPTION_GRACE_MILLIS
-                    && !attempt.isOwed();
+                    && !attempt.isGuaranteed();
             if (lowerTier && preemptible) {
                 shedWhileLowerTierRan++;
                 return;
--- a/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/fleet/FleetSimulationTest.java
+++ b/cranberrygauge-verification/src/test/java/org/cranberrygauge/verification/fleet/FleetSimulationTest.java
@@ -18,7 +18,7 @@
     void an_eviction_harms_fewer_protected_tokens_than_with_the_reactive_baseline() {
         FleetScenario scenario = FleetScenario.kartuli(Kind.EVICTION, 1);
         FleetResult reactive = new FleetSimulation(scenario, new FleetPlanner.Reactive(scenario.parameters())).run();
-        assertThat(forecast(Kind.EVICTION).harmedTokens()).isLessThan(reactive.harmedTokens());
+        assertThat(forecast(Kind.EVICTION).missedTokens()).isLessThan(reactive.missedTokens());
     }
 
     private static FleetResult forecast(Kind kind) {
